--- a/src/gateway/config_prover.cc
+++ b/src/gateway/config_prover.cc
@@ -33,12 +33,12 @@
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   bool proves_nothing_yet = epoch.is_known() && !epoch.IsSettledFor(now);
   bool is_due = !proves_nothing_yet && this->schedule.IsDue(proved_at, now);
-  bool is_wanted_now = this->is_wanted && !this->schedule.is_asking();
+  bool is_wanted_now = this->is_wanted && !this->schedule.is_pending();
   if (is_due || is_wanted_now) this->Ask(*position, now);
 }
 
 void ConfigProver::Ask(uint64_t position, Time now) {
-  this->schedule.NoteAsked();
+  this->schedule.NoteRequested();
   this->is_wanted = false;
   std::optional<uint64_t> epoch = this->recovery->returns().epoch().current();
   this->client.Call(
@@ -75,7 +75,7 @@
     });
     return;
   }
-  this->schedule.NoteProved();
+  this->schedule.NoteValidated();
   if (!this->hooks.proved(sent)) this->schedule.NoteBehind(Now());
 }
 
--- a/src/gateway/config_prover.h
+++ b/src/gateway/config_prover.h
@@ -24,7 +24,7 @@
 #include "gateway/store_client.h"
 #include "gateway/store_recovery.h"
 #include "gateway/topic_follower.h"
-#include "serving/proof_schedule.h"
+#include "serving/revalidation_schedule.h"
 
 namespace gullward {
 
@@ -66,7 +66,7 @@
   StoreClient client;
   StoreRecovery* recovery;
   std::string topic;
-  ProofSchedule schedule;
+  RevalidationSchedule schedule;
   Hooks hooks;
   bool store_is_slow = false;
   bool is_wanted = false;
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -33,7 +33,7 @@
                          .Text("content", ContentName(content))
                          .Number("engines", static_cast<double>(engines)));
   };
-  events.quarantined = [this](const QuarantineWord& word, const std::string& by) {
+  events.quarantined = [this](const QuarantineReport& word, const std::string& by) {
     this->OnQuarantined(word, by);
   };
   events.cleared = [this](ContentId content, bool was_quarantined, const std::string& by) {
@@ -45,8 +45,8 @@
   return events;
 }
 
-void CrashWatch::OnQuarantined(const QuarantineWord& word, const std::string& by) {
-  size_t engines = this->contents().EnginesOf(word.content);
+void CrashWatch::OnQuarantined(const QuarantineReport& word, const std::string& by) {
+  size_t engines = this->contents().CrashCount(word.content);
   this->log->Write(LogLine("content_quarantined")
                        .Text("content", ContentName(word.content))
                        .Text("by", by)
@@ -55,12 +55,12 @@
   this->Keep(word, by, this->witnessed.count(word.content) != 0, Now());
 }
 
-void CrashWatch::Keep(const QuarantineWord& word, const std::string& by, bool is_witness,
+void CrashWatch::Keep(const QuarantineReport& word, const std::string& by, bool is_witness,
                       Time now) {
   QuarantineEntry entry;
   entry.until_ms = UnixMillis() + static_cast<int64_t>(ToMillis(word.left));
   entry.judged_by = by;
-  entry.engines = static_cast<uint32_t>(this->contents().EnginesOf(word.content));
+  entry.engines = static_cast<uint32_t>(this->contents().CrashCount(word.content));
   this->kept.Keep(word.content, entry, is_witness, now);
 }
 
@@ -97,8 +97,8 @@
   if (this->options.is_on) this->shared.NoteAnswered(content, now);
 }
 
-CrashNews CrashWatch::Hear(const std::string& peer, const CrashNews& news, Time now) {
-  return this->options.is_on ? this->shared.Hear(peer, news, now) : CrashNews{};
+CrashGossip CrashWatch::Hear(const std::string& peer, const CrashGossip& news, Time now) {
+  return this->options.is_on ? this->shared.Receive(peer, news, now) : CrashGossip{};
 }
 
 void CrashWatch::OnRecord(ContentId content, const std::string& value, Time now) {
@@ -108,13 +108,13 @@
   int64_t left_ms = entry->until_ms - UnixMillis();
   if (left_ms <= 0) return;
   left_ms = std::min<int64_t>(left_ms, static_cast<int64_t>(ToMillis(this->options.lasts)));
-  this->shared.Impose({content, milliseconds(left_ms)}, entry->judged_by, now);
+  this->shared.AdoptFromPeer({content, milliseconds(left_ms)}, entry->judged_by, now);
 }
 
 void CrashWatch::TickSlowly(Time now) {
   this->shared.Forget(now);
   std::erase_if(this->witnessed,
-                [this](ContentId content) { return !this->contents().Knows(content); });
+                [this](ContentId content) { return !this->contents().HasRecordOf(content); });
   this->kept.Tick(now, UnixMillis());
 }
 
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -52,12 +52,14 @@
 
   // Whether any content is under suspicion or in quarantine; while none is, nobody needs to
   // work out the content of a request.
-  bool knows_any() const { return this->contents().knows_any(); }
+  bool knows_any() const { return this->contents().has_records(); }
   // Whether a second engine may get a request that the first broke off.
   bool AllowsSecondAttempt(ContentId content) const {
     return this->contents().AllowsSecondAttempt(content);
   }
-  bool IsSuspect(ContentId content) const { return this->contents().CrashesOf(content) > 0; }
+  bool IsSuspect(ContentId content) const {
+    return this->contents().UnexplainedCrashCount(content) > 0;
+  }
 
   // An attempt at `engine` broke off that had been sent then; `line` tells of it and is written
   // with what was found.
@@ -67,10 +69,10 @@
   void NoteAnswered(ContentId content, Time now);
 
   // What a peer tells, and what it should be told in turn.
-  CrashNews Hear(const std::string& peer, const CrashNews& news, Time now);
+  CrashGossip Hear(const std::string& peer, const CrashGossip& news, Time now);
 
   // News to be told to a few peers; empty where there is none.
-  CrashNews TakeNews() { return this->shared.TakeNews(); }
+  CrashGossip TakeNews() { return this->shared.TakeGossip(); }
 
   // An entry of the topic that the quarantine is kept in.
   void OnRecord(ContentId content, const std::string& value, Time now);
@@ -88,14 +90,14 @@
   const std::map<EngineFinding, uint64_t>& broken() const { return this->broken_count; }
   uint64_t connections() const { return this->check.connections(); }
   uint64_t store_calls() const { return this->kept.store_calls(); }
-  uint64_t news_dropped() const { return this->shared.news_dropped(); }
+  uint64_t news_dropped() const { return this->shared.gossip_dropped(); }
   uint64_t unkept() const { return this->kept.unkept(); }
   const Quarantine& contents() const { return this->shared.contents(); }
 
  private:
   SharedQuarantine::Hooks EventHooks();
-  void OnQuarantined(const QuarantineWord& word, const std::string& by);
-  void Keep(const QuarantineWord& word, const std::string& by, bool is_witness, Time now);
+  void OnQuarantined(const QuarantineReport& word, const std::string& by);
+  void Keep(const QuarantineReport& word, const std::string& by, bool is_witness, Time now);
 
   Options options;
   EventLog* log;
--- a/src/gateway/engine_list_copy.h
+++ b/src/gateway/engine_list_copy.h
@@ -56,11 +56,13 @@
   // The list as it is now.
   void NoteList(std::vector<EngineRecord> engines, Time now);
   // The store has returned without what was written lately; it is written again.
-  void OnStoreReturn() { this->schedule.NoteLost(this->recovery->returns().epoch().settled_at()); }
+  void OnStoreReturn() {
+    this->schedule.NoteStoreReturn(this->recovery->returns().epoch().settled_at());
+  }
   // A peer's word on the content of the copy.
-  void HearCopied(const CopyMark& mark, Time now) { this->schedule.NoteCopy(mark, now); }
+  void HearCopied(const CopyVersion& mark, Time now) { this->schedule.NoteCopy(mark, now); }
   // What we tell peers of it.
-  const CopyMark& copied() const { return this->schedule.copy(); }
+  const CopyVersion& copied() const { return this->schedule.copy(); }
   // How many gateways tell each other of it.
   void SetGateways(size_t count) { this->schedule.SetGateways(count); }
 
--- a/src/gateway/epoch_marker.cc
+++ b/src/gateway/epoch_marker.cc
@@ -2,12 +2,12 @@
 
 #include "gateway/epoch_marker.h"
 
-#include "serving/epoch_mark.h"
+#include "serving/settled_epoch.h"
 
 namespace gullward {
 
 void EpochMarker::OnRecord(const std::string& value) {
-  this->marked = DecodeEpochMark(value);
+  this->marked = DecodeSettledEpoch(value);
   if (this->marked) this->recovery->returns().Settle(*this->marked);
 }
 
@@ -28,7 +28,7 @@
 
 void EpochMarker::Write(uint64_t epoch) {
   this->is_busy = true;
-  platform::KeyedRecord record{std::string(kEpochMarkKey), EncodeEpochMark(epoch)};
+  platform::KeyedRecord record{std::string(kSettledEpochKey), EncodeSettledEpoch(epoch)};
   this->client.Call(platform::AppendKeyed(platform::kPeersTopic, record),
                     StoreClient::kAnswerPatience, [this, epoch](const StoreAnswer& answer) {
                       if (!answer.ok()) {
--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -43,7 +43,7 @@
     this->OnNewerVersion(version, peer);
   };
   hooks.engines_copied = [this] { return this->engine_list_copy.copied(); };
-  hooks.hear_engines_copied = [this](const CopyMark& mark) {
+  hooks.hear_engines_copied = [this](const CopyVersion& mark) {
     this->engine_list_copy.HearCopied(mark, Now());
   };
   hooks.hear_epoch = [this](uint64_t epoch, bool is_settled) {
@@ -53,7 +53,7 @@
   hooks.engines_read_to = [this] { return this->engine_follower.position().value_or(0); };
   hooks.hear_engines_read_to = [this](uint64_t offset) { this->OnLongerEngineList(offset); };
   hooks.take_news = [this] { return this->crash_watch.TakeNews(); };
-  hooks.hear_news = [this](const std::string& box, const CrashNews& news) {
+  hooks.hear_news = [this](const std::string& box, const CrashGossip& news) {
     return this->crash_watch.Hear(box, news, Now());
   };
   hooks.quarantine_record = [this](ContentId content, const std::string& value) {
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "serving/epoch_mark.h"
 #include "serving/gateway_entry.h"
 #include "serving/quarantine_entry.h"
+#include "serving/settled_epoch.h"
 
 namespace gullward {
 namespace {
@@ -109,7 +109,7 @@
     this->hooks.quarantine_record(*content, record.value);
     return;
   }
-  if (record.key == kEpochMarkKey) {
+  if (record.key == kSettledEpochKey) {
     this->hooks.epoch_record(record.value);
     return;
   }
@@ -129,9 +129,9 @@
   std::optional<LoadDigest> digest = DecodeDigest(datagram);
   if (!digest || digest->box == this->box) return;
   if (digest->freshness) this->HearNote(*digest);
-  if (!digest->crash_news.empty()) this->HearNews(*digest);
+  if (!digest->crash_gossip.empty()) this->HearNews(*digest);
   Time now = Now();
-  this->liveness.Hear(digest->box, now);
+  this->liveness.OnDatagram(digest->box, now);
   this->HearNotices(*digest, now);
   this->HearOfStore(*digest);
   if (digest->is_offer) {
@@ -151,13 +151,14 @@
   }
   if (digest.store_epoch != this->recovery->returns().epoch().current()) return;
   this->hooks.hear_engines_read_to(digest.engines_read_to);
-  if (digest.engines_copied.content != 0) this->hooks.hear_engines_copied(digest.engines_copied);
+  if (digest.engines_copied.fingerprint != 0)
+    this->hooks.hear_engines_copied(digest.engines_copied);
 }
 
 void LoadExchange::HearNote(const LoadDigest& digest) {
   uint64_t own_version = this->hooks.version();
-  std::optional<Time> proved =
-      this->freshness.Hear(digest.box, digest.incarnation, *digest.freshness, own_version, Now());
+  std::optional<Time> proved = this->freshness.ReceiveNote(digest.box, digest.incarnation,
+                                                           *digest.freshness, own_version, Now());
   if (proved) this->hooks.confirm(*proved);
   if (digest.freshness->config_version <= own_version) return;
   const Peer* peer = this->directory.Find(digest.box);
@@ -166,7 +167,7 @@
 }
 
 void LoadExchange::HearNews(const LoadDigest& digest) {
-  CrashNews reply = this->hooks.hear_news(digest.box, digest.crash_news);
+  CrashGossip reply = this->hooks.hear_news(digest.box, digest.crash_gossip);
   if (reply.empty()) return;
   const Peer* peer = this->directory.Find(digest.box);
   if (peer != nullptr) this->SendNews(*peer, std::move(reply), Now());
@@ -174,17 +175,17 @@
 
 // One part at a time, to a few: what waits goes with the next ticks.
 void LoadExchange::TellNews(Time now) {
-  CrashNews news = this->hooks.take_news();
+  CrashGossip news = this->hooks.take_news();
   if (news.empty()) return;
-  for (const Peer* peer : this->directory.Draw(CrashNewsQueue::kFanout, &this->random)) {
+  for (const Peer* peer : this->directory.Sample(CrashGossipQueue::kFanout, &this->random)) {
     this->SendNews(*peer, news, now);
   }
 }
 
-void LoadExchange::SendNews(const Peer& peer, CrashNews news, Time now) {
+void LoadExchange::SendNews(const Peer& peer, CrashGossip news, Time now) {
   LoadDigest digest = this->NewDigest(now);
   digest.sequence = ++this->sequence;
-  digest.crash_news = std::move(news);
+  digest.crash_gossip = std::move(news);
   this->Send(peer, EncodeDigest(digest));
 }
 
@@ -249,7 +250,7 @@
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.Of(plan.main_service());
   std::vector<const Peer*> neighbours =
-      this->directory.NextOf(plan.main_service(), main.cells, main.home, plan.revision());
+      this->directory.MembersForRound(plan.main_service(), main.cells, main.home, plan.revision());
   this->neighbour_count = neighbours.size();
   return neighbours;
 }
@@ -260,7 +261,8 @@
   if (record == nullptr) return {};
   const WorkPlan& plan = this->fleet->plan(now);
   const CellMap& cells = plan.Of(record->service).cells;
-  return this->directory.NextOf(record->service, cells, cells.CellOf(*record), plan.revision());
+  return this->directory.MembersForRound(record->service, cells, cells.CellOf(*record),
+                                         plan.revision());
 }
 
 // To the members of each engine's cell; engines with the same ones share datagrams.
@@ -293,7 +295,7 @@
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.Of(plan.main_service());
   std::vector<const Peer*> receivers =
-      this->directory.DrawOutside(main.cells, main.home, Spill::kReceivers, &this->random);
+      this->directory.SampleOutside(main.cells, main.home, Spill::kReceivers, &this->random);
   if (receivers.empty()) return;
   LoadDigest digest = this->NewDigest(now);
   digest.is_offer = true;
@@ -345,7 +347,7 @@
        this->directory.MembersOf(plan.main_service(), main.cells, main.home, plan.revision())) {
     boxes.push_back(peer->box);
   }
-  this->fleet->SetSilentGateways(this->liveness.Silent(boxes, now));
+  this->fleet->SetSilentGateways(this->liveness.SilentPeers(boxes, now));
 }
 
 void LoadExchange::Send(const Peer& peer, const std::string& datagram) {
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -69,17 +69,17 @@
     // A peer has a newer version than we.
     std::function<void(uint64_t version, const Peer& peer)> behind;
     // What the copy of the engines' list holds, as we know it and as a peer does.
-    std::function<CopyMark()> engines_copied;
-    std::function<void(const CopyMark& mark)> hear_engines_copied;
+    std::function<CopyVersion()> engines_copied;
+    std::function<void(const CopyVersion& mark)> hear_engines_copied;
     // How far we have read the engines' list, and how far a peer has.
     std::function<uint64_t()> engines_read_to;
     std::function<void(uint64_t offset)> hear_engines_read_to;
     // The store's epoch as a peer knows it, and whether it has for long enough.
     std::function<void(uint64_t epoch, bool is_settled)> hear_epoch;
     // News of engines that ended, to be told to a few; nothing in it where there is none.
-    std::function<CrashNews()> take_news;
+    std::function<CrashGossip()> take_news;
     // A peer's news, and what to tell that peer in turn.
-    std::function<CrashNews(const std::string& box, const CrashNews& news)> hear_news;
+    std::function<CrashGossip(const std::string& box, const CrashGossip& news)> hear_news;
     // An entry of the peers' topic that is about a content in quarantine.
     std::function<void(ContentId content, const std::string& value)> quarantine_record;
     // The entry of the peers' topic that says which epoch of the store is settled.
@@ -115,7 +115,7 @@
   uint64_t datagrams_sent() const { return this->sent; }
   uint64_t bytes_sent() const { return this->sent_bytes; }
   uint64_t datagrams_heard() const { return this->heard; }
-  uint64_t left_for_later() const { return this->directory.untold(); }
+  uint64_t left_for_later() const { return this->directory.deferred(); }
   uint64_t store_calls() const { return this->follower.calls() + this->registrar.calls(); }
 
  private:
@@ -130,7 +130,7 @@
   void HearNote(const LoadDigest& digest);
   void HearNews(const LoadDigest& digest);
   void TellNews(Time now);
-  void SendNews(const Peer& peer, CrashNews news, Time now);
+  void SendNews(const Peer& peer, CrashGossip news, Time now);
   LoadDigest NewDigest(Time now);
   std::map<std::string, EngineLoad> TakeUntold(bool all, Time now);
   std::vector<const Peer*> Neighbours(Time now);
--- a/src/gateway/store_returns.h
+++ b/src/gateway/store_returns.h
@@ -32,13 +32,13 @@
   // Takes the epoch that an answer tells to a call sent at `sent`.  Whether the answer may be
   // used: not where it is from before a return that is known.
   bool Note(std::optional<uint64_t> told, Time sent) {
-    StoreEpoch::Standing standing = this->state.Hear(told, sent, Now());
-    if (standing == StoreEpoch::Standing::kReturned) this->TellListeners();
-    return standing != StoreEpoch::Standing::kOutdated;
+    StoreEpoch::AnswerStatus standing = this->state.OnAnswer(told, sent, Now());
+    if (standing == StoreEpoch::AnswerStatus::kReturned) this->TellListeners();
+    return standing != StoreEpoch::AnswerStatus::kOutdated;
   }
 
   // A gateway has seen that epoch for long enough.
-  void Settle(uint64_t settled) { this->state.Settle(settled, Now()); }
+  void Settle(uint64_t settled) { this->state.MarkSettled(settled, Now()); }
 
   const StoreEpoch& epoch() const { return this->state; }
 
--- a/src/serving/crash_news.h
+++ b/src/serving/crash_gossip.h
@@ -13,8 +13,8 @@
 //
 // The queue is bounded; what does not fit is dropped and counted.
 
-#ifndef GULLWARD_SERVING_CRASH_NEWS_H_
-#define GULLWARD_SERVING_CRASH_NEWS_H_
+#ifndef GULLWARD_SERVING_CRASH_GOSSIP_H_
+#define GULLWARD_SERVING_CRASH_GOSSIP_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -26,47 +26,47 @@
 namespace gullward {
 
 // A content in quarantine, and for how much longer.
-struct QuarantineWord {
+struct QuarantineReport {
   ContentId content = 0;
   Duration left{};
 
-  bool operator==(const QuarantineWord&) const = default;
+  bool operator==(const QuarantineReport&) const = default;
 };
 
 // What one datagram carries.
-struct CrashNews {
+struct CrashGossip {
   std::vector<CrashReport> crashes;
   // Contents that were answered whole, so that nothing is held against them.
   std::vector<ContentId> answered;
-  std::vector<QuarantineWord> quarantined;
+  std::vector<QuarantineReport> quarantined;
 
   bool empty() const {
     return this->crashes.empty() && this->answered.empty() && this->quarantined.empty();
   }
 
-  bool operator==(const CrashNews&) const = default;
+  bool operator==(const CrashGossip&) const = default;
 };
 
-class CrashNewsQueue {
+class CrashGossipQueue {
  public:
   // Peers that are told one piece of news.  The part of a large fleet that nobody tells is
   // e to the minus so many, one in 400.
   static constexpr size_t kFanout = 6;
   // In one datagram: 16 bytes each, so under the usual 1,400 with the rest of it.
-  static constexpr size_t kMostInPart = 48;
+  static constexpr size_t kMaxBatchItems = 48;
   // That wait to be sent: the ends of a hundred engines with twenty requests each.
-  static constexpr size_t kMostWaiting = 2048;
+  static constexpr size_t kMaxQueued = 2048;
 
   void AddCrash(const CrashReport& report) { this->Add(&this->crashes, report); }
   void AddAnswered(ContentId content) { this->Add(&this->answered, content); }
-  void AddQuarantined(const QuarantineWord& word) { this->Add(&this->quarantined, word); }
+  void AddQuarantined(const QuarantineReport& word) { this->Add(&this->quarantined, word); }
 
   bool has_any() const { return this->waiting() > 0; }
 
   // The next part: what is in quarantine first, since each moment may cost an engine.
-  CrashNews TakePart() {
-    CrashNews part;
-    size_t room = kMostInPart;
+  CrashGossip TakeBatch() {
+    CrashGossip part;
+    size_t room = kMaxBatchItems;
     room -= Move(&this->quarantined, &part.quarantined, room);
     room -= Move(&this->answered, &part.answered, room);
     Move(&this->crashes, &part.crashes, room);
@@ -82,7 +82,7 @@
 
   template <typename Item>
   void Add(std::deque<Item>* queue, const Item& item) {
-    if (this->waiting() >= kMostWaiting) {
+    if (this->waiting() >= kMaxQueued) {
       this->dropped_count += 1;
       return;
     }
@@ -101,10 +101,10 @@
 
   std::deque<CrashReport> crashes;
   std::deque<ContentId> answered;
-  std::deque<QuarantineWord> quarantined;
+  std::deque<QuarantineReport> quarantined;
   uint64_t dropped_count = 0;
 };
 
 }  // namespace gullward
 
-#endif  // GULLWARD_SERVING_CRASH_NEWS_H_
+#endif  // GULLWARD_SERVING_CRASH_GOSSIP_H_
--- a/src/serving/fleet.cc
+++ b/src/serving/fleet.cc
@@ -54,7 +54,7 @@
 
 void Fleet::NoteFailure(const std::string& engine, bool unreachable, Time now) {
   EngineHealth& record = this->health[engine];
-  if (unreachable || this->suspicion.Suspects(engine, now)) {
+  if (unreachable || this->suspicion.IsSuspected(engine, now)) {
     record.AddCertainFailure(now);
   } else {
     record.AddFailure(now);
@@ -66,21 +66,21 @@
   for (const auto& [engine, record] : this->health) {
     if (record.IsOut(now)) set_aside.insert(engine);
   }
-  if (PeerSuspicion::IsInTrouble(set_aside.size(), this->work_plan.engines())) return {};
+  if (PeerSuspicion::SetsAsideTooMany(set_aside.size(), this->work_plan.engines())) return {};
   return set_aside;
 }
 
 void Fleet::HearSetAside(const std::string& peer, const std::set<std::string>& set_aside,
                          Time now) {
   if (!this->switches.peer_set_aside) return;
-  this->suspicion.Hear(peer, set_aside, this->plan(now).engines(), now);
+  this->suspicion.ReceiveSetAside(peer, set_aside, this->plan(now).engines(), now);
 }
 
 // Whether an engine gets no work while there are others.
 bool Fleet::Avoids(const std::string& engine, Time now) {
   const EngineHealth& record = this->health[engine];
   if (this->switches.own_set_aside && record.IsOut(now)) return true;
-  return this->suspicion.Suspects(engine, now) && !record.SucceededLately(now);
+  return this->suspicion.IsSuspected(engine, now) && !record.SucceededLately(now);
 }
 
 const WorkPlan& Fleet::plan(Time now) {
--- a/src/serving/load_digest.cc
+++ b/src/serving/load_digest.cc
@@ -90,8 +90,8 @@
   return notices;
 }
 
-CrashNews ReadNews(const fb::LoadDigest& packed) {
-  CrashNews news;
+CrashGossip ReadNews(const fb::LoadDigest& packed) {
+  CrashGossip news;
   if (packed.crashes() != nullptr) {
     for (const fb::CrashEntry* entry : *packed.crashes()) {
       news.crashes.push_back({entry->content(), entry->engine()});
@@ -136,17 +136,17 @@
   for (const std::string& engine : digest.set_aside) {
     set_aside.push_back(builder.CreateString(engine));
   }
-  const CrashNews& news = digest.crash_news;
+  const CrashGossip& news = digest.crash_gossip;
   std::vector<fb::CrashEntry> crashes;
   for (const CrashReport& crash : news.crashes) crashes.emplace_back(crash.content, crash.engine);
   std::vector<fb::QuarantineNews> quarantined;
-  for (const QuarantineWord& word : news.quarantined) {
+  for (const QuarantineReport& word : news.quarantined) {
     quarantined.emplace_back(word.content, ToMillis(word.left));
   }
   builder.Finish(fb::CreateLoadDigest(
       builder, builder.CreateString(digest.box), digest.incarnation, digest.sequence,
       builder.CreateVector(entries), freshness, builder.CreateVector(set_aside),
-      digest.engines_copied.content, digest.engines_read_to, digest.is_offer,
+      digest.engines_copied.fingerprint, digest.engines_read_to, digest.is_offer,
       VectorOrNone(&builder, crashes),
       news.answered.empty() ? 0 : builder.CreateVector(news.answered),
       VectorOrNone(&builder, quarantined), ToPacked(digest.store_epoch), digest.epoch_is_settled,
@@ -169,7 +169,7 @@
   if (packed->store_epoch()) digest.store_epoch = *packed->store_epoch();
   digest.epoch_is_settled = packed->epoch_is_settled();
   digest.is_offer = packed->is_offer();
-  digest.crash_news = ReadNews(*packed);
+  digest.crash_gossip = ReadNews(*packed);
   digest.notices = ReadNotices(*packed);
   if (const fb::FreshnessNote* note = packed->freshness()) {
     FreshnessNote told;
--- a/src/serving/load_digest.h
+++ b/src/serving/load_digest.h
@@ -14,7 +14,7 @@
 #include <string_view>
 
 #include "serving/copy_schedule.h"
-#include "serving/crash_news.h"
+#include "serving/crash_gossip.h"
 #include "serving/engine_load.h"
 #include "serving/engine_notice.h"
 #include "serving/peer_freshness.h"
@@ -33,7 +33,7 @@
   // Engines that the sender has set aside; serving/peer_suspicion.h.
   std::set<std::string> set_aside;
   // What the copy of the engines' list holds; gateway/engine_list_copy.h.
-  CopyMark engines_copied;
+  CopyVersion engines_copied;
   // The offset after the last change of the engines' list that the sender has read.
   uint64_t engines_read_to = 0;
   // The store's epoch to which that offset belongs, nothing where the store tells none, and
@@ -46,7 +46,7 @@
   // What engines have said of themselves (serving/engine_notices.h).
   std::map<std::string, NoticeWord> notices;
   // News that its receivers pass on (serving/crash_news.h).
-  CrashNews crash_news;
+  CrashGossip crash_gossip;
 
   bool operator==(const LoadDigest&) const = default;
 };
--- a/src/serving/peer_directory.cc
+++ b/src/serving/peer_directory.cc
@@ -26,8 +26,8 @@
 const std::vector<const Peer*>& PeerDirectory::MembersOf(const std::string& service,
                                                          const CellMap& cells, const Cell& cell,
                                                          uint64_t revision) {
-  if (this->members_of != revision) this->members.clear();
-  this->members_of = revision;
+  if (this->members_revision != revision) this->members.clear();
+  this->members_revision = revision;
   auto [found, is_new] = this->members.try_emplace({service, cell});
   std::vector<const Peer*>& all = found->second;
   if (is_new) {
@@ -38,14 +38,15 @@
   return all;
 }
 
-std::vector<const Peer*> PeerDirectory::NextOf(const std::string& service, const CellMap& cells,
-                                               const Cell& cell, uint64_t revision) {
+std::vector<const Peer*> PeerDirectory::MembersForRound(const std::string& service,
+                                                        const CellMap& cells, const Cell& cell,
+                                                        uint64_t revision) {
   const std::vector<const Peer*>& all = this->MembersOf(service, cells, cell, revision);
-  if (all.size() <= kMostAtOnce) return all;
-  this->left_for_later += all.size() - kMostAtOnce;
+  if (all.size() <= kMaxPeersPerRound) return all;
+  this->deferred_count += all.size() - kMaxPeersPerRound;
   std::vector<const Peer*> turn;
-  size_t first = this->round * kMostAtOnce;
-  for (size_t i = 0; i < kMostAtOnce; ++i) turn.push_back(all[(first + i) % all.size()]);
+  size_t first = this->round * kMaxPeersPerRound;
+  for (size_t i = 0; i < kMaxPeersPerRound; ++i) turn.push_back(all[(first + i) % all.size()]);
   return turn;
 }
 
@@ -54,7 +55,7 @@
   return found == this->peers.end() ? nullptr : &found->second;
 }
 
-std::vector<const Peer*> PeerDirectory::Draw(size_t count, std::mt19937_64* random) const {
+std::vector<const Peer*> PeerDirectory::Sample(size_t count, std::mt19937_64* random) const {
   std::vector<const Peer*> all;
   for (const auto& [box, peer] : this->peers) all.push_back(&peer);
   std::vector<const Peer*> drawn;
@@ -62,8 +63,8 @@
   return drawn;
 }
 
-std::vector<const Peer*> PeerDirectory::DrawOutside(const CellMap& cells, const Cell& cell,
-                                                    size_t count, std::mt19937_64* random) const {
+std::vector<const Peer*> PeerDirectory::SampleOutside(const CellMap& cells, const Cell& cell,
+                                                      size_t count, std::mt19937_64* random) const {
   std::vector<const Peer*> drawn;
   if (cells.is_whole() || this->peers.empty()) return drawn;
   // A few draws by place; one that falls on a member of the cell is lost.
--- a/src/serving/peer_directory.h
+++ b/src/serving/peer_directory.h
@@ -37,7 +37,7 @@
  public:
   // Members of one cell that are told in one round.  Three rounds of half a second come
   // before what was told is forgotten, so a cell may have three times as many.
-  static constexpr size_t kMostAtOnce = 48;
+  static constexpr size_t kMaxPeersPerRound = 48;
 
   void Update(const Peer& peer);
   void Remove(const std::string& box);
@@ -54,29 +54,29 @@
                                             const Cell& cell, uint64_t revision);
 
   // Of these, those whose turn it is where there are many.
-  std::vector<const Peer*> NextOf(const std::string& service, const CellMap& cells,
-                                  const Cell& cell, uint64_t revision);
+  std::vector<const Peer*> MembersForRound(const std::string& service, const CellMap& cells,
+                                           const Cell& cell, uint64_t revision);
 
   // The peer of that box; null where it is not known.
   const Peer* Find(const std::string& box) const;
 
   // `count` different peers, or all where there are no more, drawn by chance.
-  std::vector<const Peer*> Draw(size_t count, std::mt19937_64* random) const;
+  std::vector<const Peer*> Sample(size_t count, std::mt19937_64* random) const;
 
   // Up to `count` peers that are not in a cell, drawn by chance.
-  std::vector<const Peer*> DrawOutside(const CellMap& cells, const Cell& cell, size_t count,
-                                       std::mt19937_64* random) const;
+  std::vector<const Peer*> SampleOutside(const CellMap& cells, const Cell& cell, size_t count,
+                                         std::mt19937_64* random) const;
 
   // Members that were left for a later round, over all rounds.
-  uint64_t untold() const { return this->left_for_later; }
+  uint64_t deferred() const { return this->deferred_count; }
 
  private:
   std::map<std::string, Peer> peers;
   // By service and cell.
   std::map<std::pair<std::string, Cell>, std::vector<const Peer*>> members;
-  uint64_t members_of = 0;
+  uint64_t members_revision = 0;
   size_t round = 0;
-  uint64_t left_for_later = 0;
+  uint64_t deferred_count = 0;
 };
 
 }  // namespace gullward
--- a/src/serving/peer_freshness.cc
+++ b/src/serving/peer_freshness.cc
@@ -26,12 +26,13 @@
   return note;
 }
 
-std::optional<Time> PeerFreshness::Hear(const std::string& peer, uint64_t peer_incarnation,
-                                        const FreshnessNote& note, uint64_t own_version, Time now) {
-  Heard& last = this->heard[peer];
-  if (last.incarnation != peer_incarnation) last = Heard{peer_incarnation, 0, now};
+std::optional<Time> PeerFreshness::ReceiveNote(const std::string& peer, uint64_t peer_incarnation,
+                                               const FreshnessNote& note, uint64_t own_version,
+                                               Time now) {
+  LastNote& last = this->heard[peer];
+  if (last.incarnation != peer_incarnation) last = LastNote{peer_incarnation, 0, now};
   // The time of the first arrival: a later copy must not make it look younger.
-  if (note.round > last.round) last = Heard{peer_incarnation, note.round, now};
+  if (note.round > last.round) last = LastNote{peer_incarnation, note.round, now};
   this->newest_version = std::max(this->newest_version, note.config_version);
   if (note.config_version > own_version || note.echoed_round == 0) return std::nullopt;
   if (note.echoed_incarnation != this->incarnation) return std::nullopt;
--- a/src/serving/peer_freshness.h
+++ b/src/serving/peer_freshness.h
@@ -63,18 +63,18 @@
 
   // Takes a peer's note.  Returns when, on our clock, our version was certainly
   // current; nothing where the note proves nothing of it.
-  std::optional<Time> Hear(const std::string& peer, uint64_t peer_incarnation,
-                           const FreshnessNote& note, uint64_t own_version, Time now);
+  std::optional<Time> ReceiveNote(const std::string& peer, uint64_t peer_incarnation,
+                                  const FreshnessNote& note, uint64_t own_version, Time now);
 
   // The highest version that any peer has told.
-  uint64_t newest_version_told() const { return this->newest_version; }
+  uint64_t newest_peer_version() const { return this->newest_version; }
 
  private:
   struct Round {
     uint64_t number = 0;
     Time sent;
   };
-  struct Heard {
+  struct LastNote {
     uint64_t incarnation = 0;
     uint64_t round = 0;
     Time at;
@@ -83,7 +83,7 @@
   uint64_t incarnation;
   uint64_t last_round = 0;
   std::deque<Round> rounds;
-  std::map<std::string, Heard> heard;
+  std::map<std::string, LastNote> heard;
   uint64_t newest_version = 0;
 };
 
--- a/src/serving/peer_liveness.h
+++ b/src/serving/peer_liveness.h
@@ -23,23 +23,23 @@
 class PeerLiveness {
  public:
   // Ten rounds of telling, or the turn of three in a cell that is told in turns.
-  static constexpr Duration kSilence = seconds(5);
+  static constexpr Duration kSilenceTimeout = seconds(5);
 
-  void Hear(const std::string& box, Time now) {
+  void OnDatagram(const std::string& box, Time now) {
     auto found = this->heard.find(box);
     if (found != this->heard.end()) found->second = now;
   }
 
   // Of `expected`, those that have been silent for kSilence since they were first expected.
   // Others are forgotten.
-  std::set<std::string> Silent(const std::vector<std::string>& expected, Time now) {
+  std::set<std::string> SilentPeers(const std::vector<std::string>& expected, Time now) {
     std::map<std::string, Time> kept;
     std::set<std::string> silent;
     for (const std::string& box : expected) {
       auto found = this->heard.find(box);
       Time last = found == this->heard.end() ? now : found->second;
       kept[box] = last;
-      if (now - last >= kSilence) silent.insert(box);
+      if (now - last >= kSilenceTimeout) silent.insert(box);
     }
     this->heard = std::move(kept);
     if (silent.size() * 2 > expected.size()) silent.clear();
--- a/src/serving/peer_suspicion.cc
+++ b/src/serving/peer_suspicion.cc
@@ -22,22 +22,22 @@
   return Duration(static_cast<int64_t>(hash % static_cast<uint64_t>(kReturnSpread.count())));
 }
 
-void PeerSuspicion::Hear(const std::string& peer, const std::set<std::string>& engines,
-                         size_t engines_listed, Time now) {
+void PeerSuspicion::ReceiveSetAside(const std::string& peer, const std::set<std::string>& engines,
+                                    size_t engines_listed, Time now) {
   for (auto& [engine, peers] : this->words) {
     if (engines.count(engine) == 0) peers.erase(peer);
   }
-  if (IsInTrouble(engines.size(), engines_listed)) return;
+  if (SetsAsideTooMany(engines.size(), engines_listed)) return;
   for (const std::string& engine : engines) {
     std::map<std::string, Time>& peers = this->words[engine];
     peers[peer] = now;
-    ForgetOlder(&peers, kWordLasts, now);
-    if (peers.size() < kWordsNeeded) continue;
-    this->suspected_until[engine] = now + kWordLasts + this->ReturnDelay(engine);
+    ForgetOlder(&peers, kReportLifetime, now);
+    if (peers.size() < kMinReports) continue;
+    this->suspected_until[engine] = now + kReportLifetime + this->ReturnDelay(engine);
   }
 }
 
-bool PeerSuspicion::Suspects(const std::string& engine, Time now) const {
+bool PeerSuspicion::IsSuspected(const std::string& engine, Time now) const {
   auto found = this->suspected_until.find(engine);
   return found != this->suspected_until.end() && now < found->second;
 }
@@ -45,7 +45,7 @@
 void PeerSuspicion::Tick(Time now) {
   ForgetOlder(&this->suspected_until, Duration(0), now);
   for (auto it = this->words.begin(); it != this->words.end();) {
-    ForgetOlder(&it->second, kWordLasts, now);
+    ForgetOlder(&it->second, kReportLifetime, now);
     it = it->second.empty() ? this->words.erase(it) : std::next(it);
   }
 }
--- a/src/serving/peer_suspicion.h
+++ b/src/serving/peer_suspicion.h
@@ -30,28 +30,28 @@
 class PeerSuspicion {
  public:
   // Peers that must have set an engine aside.
-  static constexpr size_t kWordsNeeded = 2;
+  static constexpr size_t kMinReports = 2;
   // How long a word holds: peers repeat it every half second.
-  static constexpr Duration kWordLasts = milliseconds(700);
+  static constexpr Duration kReportLifetime = milliseconds(700);
   // Over which the believers come back.
   static constexpr Duration kReturnSpread = milliseconds(1000);
   // A peer that has set aside a larger share of the engines is in trouble itself.
-  static constexpr double kMostSetAside = 0.25;
+  static constexpr double kMaxSetAsideShare = 0.25;
 
   explicit PeerSuspicion(std::string own_box) : box(std::move(own_box)) {}
 
   // Takes all that a peer has set aside now, out of so many engines listed.
-  void Hear(const std::string& peer, const std::set<std::string>& engines, size_t engines_listed,
-            Time now);
+  void ReceiveSetAside(const std::string& peer, const std::set<std::string>& engines,
+                       size_t engines_listed, Time now);
 
   // Whether a process that has set aside so many of the engines listed must look for
   // the fault in itself.
-  static bool IsInTrouble(size_t engines_set_aside, size_t engines_listed) {
-    double most = kMostSetAside * static_cast<double>(engines_listed);
+  static bool SetsAsideTooMany(size_t engines_set_aside, size_t engines_listed) {
+    double most = kMaxSetAsideShare * static_cast<double>(engines_listed);
     return static_cast<double>(engines_set_aside) > most;
   }
 
-  bool Suspects(const std::string& engine, Time now) const;
+  bool IsSuspected(const std::string& engine, Time now) const;
 
   // Forgets what is over.
   void Tick(Time now);
--- a/src/serving/quarantine.h
+++ b/src/serving/quarantine.h
@@ -64,27 +64,27 @@
  public:
   // Engines lost under one content before it is kept from others.  Two may be chance: what is
   // on an engine that ends is sent to another, and that one may end as well.
-  static constexpr size_t kCrashesNeeded = 3;
+  static constexpr size_t kMinCrashes = 3;
   // Where neither chance nor company counts as the reason any more: each further engine costs
   // everybody who is on it an answer.  The users allow three engines more after the third; two
   // gateways may each send a content on before they hear of one another's.
-  static constexpr size_t kMostCrashes = 5;
+  static constexpr size_t kMaxCrashes = 5;
   // From an engine's end until its news has come from all gateways: four hops of 25 ms each
   // reach 300 of them; the rest is room for a slow loop.
-  static constexpr Duration kSettle = milliseconds(300);
+  static constexpr Duration kDecisionDelay = milliseconds(300);
   // Engines that are lost in this time may be lost together: a rack's end within a few
   // milliseconds, and the news of it is spread over the hops above.
-  static constexpr Duration kOneMoment = milliseconds(150);
+  static constexpr Duration kBurstWindow = milliseconds(150);
   // After a whole answer, news that was still on its way counts for nothing.
   static constexpr Duration kClearedFor = seconds(2);
   // Without another end, what is held against a content is forgotten.
-  static constexpr Duration kSuspicionLasts = std::chrono::minutes(10);
+  static constexpr Duration kSuspicionLifetime = std::chrono::minutes(10);
   // 100 bytes each.  An end of an engine leaves as many suspects as it had requests, at most
   // some twenty, so this is room for the ends of 200 engines in ten minutes.
-  static constexpr size_t kMostSuspects = 4096;
-  static constexpr size_t kMostQuarantined = 1024;
+  static constexpr size_t kMaxSuspects = 4096;
+  static constexpr size_t kMaxQuarantined = 1024;
   // Engines kept for one content, the latest.
-  static constexpr size_t kMostEnginesKept = 32;
+  static constexpr size_t kMaxEnginesKept = 32;
 
   explicit Quarantine(Duration quarantine_lasts) : lasts(quarantine_lasts) {}
 
@@ -96,15 +96,15 @@
   bool NoteAnswered(ContentId content, Time now);
 
   // Whether the content is or was under suspicion: an answer to it is worth noting.
-  bool Knows(ContentId content) const { return this->records.count(content) != 0; }
-  bool knows_any() const { return !this->records.empty(); }
+  bool HasRecordOf(ContentId content) const { return this->records.count(content) != 0; }
+  bool has_records() const { return !this->records.empty(); }
 
   // Puts those into quarantine whose time to be judged has come, and returns them.
-  std::vector<ContentId> Judge(Time now);
+  std::vector<ContentId> Evaluate(Time now);
 
   // Puts a content into quarantine on another's word, for that long from now on (at most as
   // long as our own would last).  Whether it was not in it yet.
-  bool Impose(ContentId content, Duration left, Time now);
+  bool AdoptFromPeer(ContentId content, Duration left, Time now);
 
   // For how long a content is not to be sent; nothing where it may be.  A quarantine, or the
   // moment until one is decided.
@@ -113,7 +113,7 @@
   // Whether a request whose attempt just broke off may be sent to a second engine at once.  Not
   // where this may have been the third: its caller comes back, and by then it is known.
   bool AllowsSecondAttempt(ContentId content) const {
-    return this->EnginesOf(content) + 1 < kCrashesNeeded;
+    return this->CrashCount(content) + 1 < kMinCrashes;
   }
 
   // The rest of its quarantine; nothing where it is in none.
@@ -123,8 +123,8 @@
   }
 
   // Engines that have ended under it, and those of them that nothing else explains.
-  size_t EnginesOf(ContentId content) const;
-  size_t CrashesOf(ContentId content) const;
+  size_t CrashCount(ContentId content) const;
+  size_t UnexplainedCrashCount(ContentId content) const;
 
   // Forgets what is over.
   void Tick(Time now);
@@ -140,30 +140,30 @@
  private:
   struct Crash {
     EngineKey engine;
-    Time heard;
+    Time received_at;
   };
   struct Record {
     // In the order in which they were heard.
     std::vector<Crash> crashes;
-    Time last_news{};
+    Time last_report_at{};
     // Some engine got the request after another had ended under it.
-    bool was_sent_on = false;
+    bool was_resent = false;
     std::optional<Time> cleared_at;
     std::optional<Time> quarantined_until;
   };
   using Records = std::unordered_map<ContentId, Record>;
 
-  std::vector<Crash> Unexplained(const Record& record) const;
-  bool IsToBeJudged(const Record& record) const;
-  void AwaitJudgement();
-  static bool IsOneMoment(const Record& record);
-  bool IsGuilty(ContentId content, const Record& record) const;
-  size_t PointingAt(ContentId content, const std::vector<Crash>& crashes) const;
-  void PutInto(Record* record, Duration how_long, Time now);
-  void Explain(const Record& record);
-  void WorkOutExplained();
-  void MakeRoomForSuspect();
-  void MakeRoomForQuarantine();
+  std::vector<Crash> UnexplainedCrashes(const Record& record) const;
+  bool NeedsDecision(const Record& record) const;
+  void QueueDecisions();
+  static bool IsBurst(const Record& record);
+  bool IsCause(ContentId content, const Record& record) const;
+  size_t AttributedCrashes(ContentId content, const std::vector<Crash>& crashes) const;
+  void StartQuarantine(Record* record, Duration how_long, Time now);
+  void MarkExplained(const Record& record);
+  void RecomputeExplained();
+  void EvictSuspects();
+  void EvictQuarantined();
   void Erase(Records::iterator where);
 
   Duration lasts;
@@ -171,7 +171,7 @@
   // Engines that ended under a content in quarantine.
   std::unordered_set<EngineKey> explained;
   // Contents with enough engines, until they are judged.
-  std::unordered_set<ContentId> awaiting;
+  std::unordered_set<ContentId> undecided;
   size_t quarantined_count = 0;
   uint64_t forgotten_count = 0;
 };
--- a/src/serving/proof_schedule.h
+++ b/src/serving/revalidation_schedule.h
@@ -12,8 +12,8 @@
 //   if (schedule.IsDue(proved_at, now)) { schedule.NoteAsked(); ... }
 //   schedule.NoteBehind(now);        // there was news instead of a proof
 
-#ifndef GULLWARD_SERVING_PROOF_SCHEDULE_H_
-#define GULLWARD_SERVING_PROOF_SCHEDULE_H_
+#ifndef GULLWARD_SERVING_REVALIDATION_SCHEDULE_H_
+#define GULLWARD_SERVING_REVALIDATION_SCHEDULE_H_
 
 #include <cstdint>
 #include <random>
@@ -22,17 +22,17 @@
 
 namespace gullward {
 
-class ProofSchedule {
+class RevalidationSchedule {
  public:
   // Shares of the time for which keys may be trusted: up to the first nobody asks,
   // and the lots are drawn over the second.  Four tenths remain for a store that is
   // slow or silent at first.
   static constexpr double kQuietShare = 0.3;
-  static constexpr double kLotShare = 0.3;
+  static constexpr double kJitterShare = 0.3;
   // After news: they are in force by then.
-  static constexpr Duration kNewsPause = milliseconds(500);
+  static constexpr Duration kNewerConfigPause = milliseconds(500);
 
-  ProofSchedule(Duration key_trust, uint64_t seed) : trust(key_trust), random(seed) {}
+  RevalidationSchedule(Duration key_trust, uint64_t seed) : trust(key_trust), random(seed) {}
 
   // Whether to ask now, given when the configuration was last proved current.
   bool IsDue(Time proved_at, Time now) {
@@ -40,19 +40,19 @@
     return !this->asking && now >= this->due && now >= this->not_before;
   }
 
-  bool is_asking() const { return this->asking; }
-  void NoteAsked() { this->asking = true; }
-  void NoteProved() { this->asking = false; }
+  bool is_pending() const { return this->asking; }
+  void NoteRequested() { this->asking = true; }
+  void NoteValidated() { this->asking = false; }
   // The store did not answer, and may be asked again.
   void NoteRetry() { this->asking = false; }
   void NoteBehind(Time now) {
     this->asking = false;
-    this->not_before = now + kNewsPause;
+    this->not_before = now + kNewerConfigPause;
   }
 
  private:
   void Draw(Time proved_at) {
-    std::uniform_real_distribution<double> lot(0, kLotShare);
+    std::uniform_real_distribution<double> lot(0, kJitterShare);
     this->drawn_for = proved_at;
     this->due = proved_at + FromSeconds((kQuietShare + lot(this->random)) * ToSeconds(this->trust));
   }
@@ -67,4 +67,4 @@
 
 }  // namespace gullward
 
-#endif  // GULLWARD_SERVING_PROOF_SCHEDULE_H_
+#endif  // GULLWARD_SERVING_REVALIDATION_SCHEDULE_H_
--- a/src/serving/epoch_mark.h
+++ b/src/serving/settled_epoch.h
@@ -3,8 +3,8 @@
 //
 // It stands in the topic by which gateways know each other, beside their own entries.
 
-#ifndef GULLWARD_SERVING_EPOCH_MARK_H_
-#define GULLWARD_SERVING_EPOCH_MARK_H_
+#ifndef GULLWARD_SERVING_SETTLED_EPOCH_H_
+#define GULLWARD_SERVING_SETTLED_EPOCH_H_
 
 #include <cstdint>
 #include <optional>
@@ -17,12 +17,12 @@
 
 namespace gullward {
 
-inline constexpr std::string_view kEpochMarkKey = "epoch/settled";
+inline constexpr std::string_view kSettledEpochKey = "epoch/settled";
 
-inline std::string EncodeEpochMark(uint64_t epoch) { return absl::StrCat(epoch); }
+inline std::string EncodeSettledEpoch(uint64_t epoch) { return absl::StrCat(epoch); }
 
 // Nothing if the value is no number.
-inline std::optional<uint64_t> DecodeEpochMark(std::string_view value) {
+inline std::optional<uint64_t> DecodeSettledEpoch(std::string_view value) {
   uint64_t epoch = 0;
   bool is_number = absl::SimpleAtoi(AbslView(value), &epoch);
   return is_number ? std::optional<uint64_t>(epoch) : std::nullopt;
@@ -30,4 +30,4 @@
 
 }  // namespace gullward
 
-#endif  // GULLWARD_SERVING_EPOCH_MARK_H_
+#endif  // GULLWARD_SERVING_SETTLED_EPOCH_H_
--- a/src/serving/shared_quarantine.h
+++ b/src/serving/shared_quarantine.h
@@ -16,7 +16,7 @@
 #include <functional>
 #include <string>
 
-#include "serving/crash_news.h"
+#include "serving/crash_gossip.h"
 #include "serving/quarantine.h"
 
 namespace gullward {
@@ -25,14 +25,14 @@
  public:
   // A second engine under one content is worth telling operators; a first is lost with every
   // engine.
-  static constexpr size_t kCrashesToTell = 2;
+  static constexpr size_t kMinCrashesToReport = 2;
 
   // All may be empty.
   struct Hooks {
     // So many engines have ended under a content; kCrashesToTell or more.
     std::function<void(ContentId content, size_t engines)> suspected;
     // A content is in quarantine from now on, for that long, by the judgement of that box.
-    std::function<void(const QuarantineWord& word, const std::string& by)> quarantined;
+    std::function<void(const QuarantineReport& word, const std::string& by)> quarantined;
     // Nothing is held against a content any more, by what that box has seen.
     std::function<void(ContentId content, bool was_quarantined, const std::string& by)> cleared;
   };
@@ -47,11 +47,11 @@
   void NoteAnswered(ContentId content, Time now) { this->Clear(content, this->box, now); }
 
   // Another's judgement, from a peer or from the store.
-  void Impose(const QuarantineWord& word, const std::string& by, Time now);
+  void AdoptFromPeer(const QuarantineReport& word, const std::string& by, Time now);
 
   // What a peer tells.  Returns what the peer should be told in turn: it reported an end under
   // a content that is in quarantine, so it does not know of that.
-  CrashNews Hear(const std::string& peer, const CrashNews& told, Time now);
+  CrashGossip Receive(const std::string& peer, const CrashGossip& told, Time now);
 
   // Judges what is due.
   void Tick(Time now);
@@ -59,20 +59,20 @@
   void Forget(Time now) { this->quarantine.Tick(now); }
 
   // News for a few peers; empty where there is none.
-  CrashNews TakeNews() { return this->news.TakePart(); }
+  CrashGossip TakeGossip() { return this->news.TakeBatch(); }
 
   const Quarantine& contents() const { return this->quarantine; }
-  uint64_t news_dropped() const { return this->news.dropped(); }
+  uint64_t gossip_dropped() const { return this->news.dropped(); }
 
  private:
   void Clear(ContentId content, const std::string& by, Time now);
-  void TellQuarantined(const QuarantineWord& word, const std::string& by);
+  void AnnounceQuarantine(const QuarantineReport& word, const std::string& by);
 
   std::string box;
   Duration lasts;
   Hooks hooks;
   Quarantine quarantine;
-  CrashNewsQueue news;
+  CrashGossipQueue news;
 };
 
 }  // namespace gullward
--- a/src/serving/store_epoch.h
+++ b/src/serving/store_epoch.h
@@ -38,7 +38,7 @@
   // two seconds, and the rest is for the ways to us.
   static constexpr Duration kRewriteTime = milliseconds(2500);
 
-  enum class Standing {
+  enum class AnswerStatus {
     kCurrent,
     // The store has returned: the answer is the first one of its epoch.
     kReturned,
@@ -47,10 +47,10 @@
   };
 
   // Takes the epoch of an answer, which came now to a call sent at `sent`.
-  Standing Hear(std::optional<uint64_t> told, Time sent, Time now);
+  AnswerStatus OnAnswer(std::optional<uint64_t> told, Time sent, Time now);
 
   // A gateway has seen that epoch for the whole of kRewriteTime.
-  void Settle(uint64_t settled, Time now);
+  void MarkSettled(uint64_t settled, Time now);
 
   // Whether what was written before the return is there again, for a read sent at `sent`.
   bool IsSettledFor(Time sent) const { return this->heard && sent >= this->settled_at_time; }
--- a/src/serving/testing/cell_test.cc
+++ b/src/serving/testing/cell_test.cc
@@ -87,7 +87,7 @@
         BOOST_TEST(count >= CellMap::kLeastEngines / 2);
       }
       for (const auto& [cell, count] : gateways_of) {
-        BOOST_TEST(count <= PeerDirectory::kMostAtOnce);
+        BOOST_TEST(count <= PeerDirectory::kMaxPeersPerRound);
         BOOST_TEST(engines_of.count(cell) == 1u);
       }
       // No engine is without gateways.
@@ -141,18 +141,18 @@
 BOOST_AUTO_TEST_CASE(NobodyIsLeftOutHoweverManyThereAre) {
   CellMap cells = MapOf(Engines(18, 3));
   Cell home = cells.HomeOf("box-0", Hall(0));
-  for (size_t count : {size_t{4}, PeerDirectory::kMostAtOnce, size_t{102}, size_t{140}}) {
+  for (size_t count : {size_t{4}, PeerDirectory::kMaxPeersPerRound, size_t{102}, size_t{140}}) {
     PeerDirectory peers;
     for (size_t i = 1; i <= count; ++i) peers.Update(PeerNumber(i, 3));
     std::set<std::string> told;
     for (int round = 0; round < 3; ++round) {
-      std::vector<const Peer*> now = peers.NextOf("pool", cells, home, 1);
-      BOOST_TEST(now.size() <= PeerDirectory::kMostAtOnce);
+      std::vector<const Peer*> now = peers.MembersForRound("pool", cells, home, 1);
+      BOOST_TEST(now.size() <= PeerDirectory::kMaxPeersPerRound);
       for (const Peer* peer : now) told.insert(peer->box);
       peers.BeginRound();
     }
     BOOST_TEST(told.size() == count);
-    BOOST_TEST((peers.untold() > 0) == (count > PeerDirectory::kMostAtOnce));
+    BOOST_TEST((peers.deferred() > 0) == (count > PeerDirectory::kMaxPeersPerRound));
   }
 }
 
@@ -162,19 +162,19 @@
   PeerDirectory peers;
   for (size_t i = 1; i < 103; ++i) peers.Update(PeerNumber(i, 5));
   Cell home = cells.HomeOf("box-0", Hall(0));
-  BOOST_TEST(peers.NextOf("pool", cells, home, 1).size() == 20u);
+  BOOST_TEST(peers.MembersForRound("pool", cells, home, 1).size() == 20u);
   peers.Remove("box-5");
-  BOOST_TEST(peers.NextOf("pool", cells, home, 1).size() == 19u);
+  BOOST_TEST(peers.MembersForRound("pool", cells, home, 1).size() == 19u);
   CellMap whole;
-  BOOST_TEST(peers.NextOf("pool", whole, whole.HomeOf("box-0", Hall(0)), 2).size() ==
-             PeerDirectory::kMostAtOnce);
+  BOOST_TEST(peers.MembersForRound("pool", whole, whole.HomeOf("box-0", Hall(0)), 2).size() ==
+             PeerDirectory::kMaxPeersPerRound);
   std::mt19937_64 random(1);
   for (int i = 0; i < 50; ++i) {
-    for (const Peer* peer : peers.DrawOutside(cells, home, 2, &random)) {
+    for (const Peer* peer : peers.SampleOutside(cells, home, 2, &random)) {
       BOOST_TEST(peer->data_centre != Hall(0));
     }
   }
-  BOOST_TEST(peers.DrawOutside(whole, {}, 2, &random).empty());
+  BOOST_TEST(peers.SampleOutside(whole, {}, 2, &random).empty());
 }
 
 Fleet FleetOf(const std::vector<EngineRecord>& engines, const Mechanisms& mechanisms = {}) {
--- a/src/serving/testing/limit_share_test.cc
+++ b/src/serving/testing/limit_share_test.cc
@@ -125,15 +125,15 @@
 BOOST_AUTO_TEST_CASE(WhoIsNotHeardOfIsSilentUnlessMostAre) {
   PeerLiveness liveness;
   std::vector<std::string> boxes = Boxes(4);
-  auto silent_at = [&](Duration after) { return liveness.Silent(boxes, kStart + after); };
+  auto silent_at = [&](Duration after) { return liveness.SilentPeers(boxes, kStart + after); };
   // Nobody before there was time to hear of them.
   BOOST_TEST(silent_at(seconds(0)).empty());
-  for (const char* box : {"box-0", "box-1", "box-2"}) liveness.Hear(box, kStart + seconds(4));
-  BOOST_TEST((silent_at(PeerLiveness::kSilence) == std::set<std::string>{"box-3"}));
+  for (const char* box : {"box-0", "box-1", "box-2"}) liveness.OnDatagram(box, kStart + seconds(4));
+  BOOST_TEST((silent_at(PeerLiveness::kSilenceTimeout) == std::set<std::string>{"box-3"}));
   // Three of four: the fault is here.
-  liveness.Hear("box-0", kStart + seconds(10));
+  liveness.OnDatagram("box-0", kStart + seconds(10));
   BOOST_TEST(silent_at(seconds(11)).empty());
-  for (const std::string& box : boxes) liveness.Hear(box, kStart + seconds(12));
+  for (const std::string& box : boxes) liveness.OnDatagram(box, kStart + seconds(12));
   BOOST_TEST(silent_at(seconds(13)).empty());
   // One that is new is not silent yet.
   boxes.push_back("box-9");
--- a/src/serving/testing/quarantine_test.cc
+++ b/src/serving/testing/quarantine_test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "serving/crash_news.h"
+#include "serving/crash_gossip.h"
 #include "serving/load_digest.h"
 #include "serving/quarantine_entry.h"
 #include "serving/shared_quarantine.h"
@@ -100,9 +100,9 @@
         quarantine.NoteCrash({end.content, end.engine}, last);
       }
       BOOST_TEST(quarantine.RefusedFor(kDeadly, last).has_value() == one.deadly_refused_at_once);
-      BOOST_TEST(quarantine.Judge(last + Quarantine::kSettle / 2).empty());
-      Time settled = last + Quarantine::kSettle;
-      quarantine.Judge(settled);
+      BOOST_TEST(quarantine.Evaluate(last + Quarantine::kDecisionDelay / 2).empty());
+      Time settled = last + Quarantine::kDecisionDelay;
+      quarantine.Evaluate(settled);
       std::vector<ContentId> quarantined = quarantine.Quarantined(settled);
       std::sort(quarantined.begin(), quarantined.end());
       BOOST_TEST(quarantined == one.quarantined, boost::test_tools::per_element());
@@ -112,7 +112,7 @@
 
 // Three engines, a second apart.
 void EndThree(Quarantine* quarantine, ContentId content, Time begin, EngineKey first_engine = 1) {
-  for (EngineKey i = 0; i < Quarantine::kCrashesNeeded; ++i) {
+  for (EngineKey i = 0; i < Quarantine::kMinCrashes; ++i) {
     quarantine->NoteCrash({content, first_engine + i}, begin + seconds(i));
   }
 }
@@ -123,7 +123,7 @@
   quarantine.NoteCrash({kDeadly, 2}, At(20), At(5));
   quarantine.NoteCrash({kDeadly, 3}, At(40), At(25));
   BOOST_TEST(quarantine.RefusedFor(kDeadly, At(40)).has_value());
-  BOOST_TEST(quarantine.Judge(At(40) + Quarantine::kSettle).size() == 1);
+  BOOST_TEST(quarantine.Evaluate(At(40) + Quarantine::kDecisionDelay).size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(AnAnswerClearsAContentAndWordsThatComeLate) {
@@ -133,7 +133,7 @@
   BOOST_TEST(quarantine.NoteAnswered(kInnocent, answered));
   BOOST_TEST(!quarantine.NoteAnswered(kInnocent, answered));
   BOOST_TEST(!quarantine.NoteCrash({kInnocent, 9}, answered + milliseconds(100)));
-  BOOST_TEST(quarantine.Judge(answered + seconds(1)).empty());
+  BOOST_TEST(quarantine.Evaluate(answered + seconds(1)).empty());
   BOOST_TEST(!quarantine.RefusedFor(kInnocent, answered));
   // Later ends count again.
   BOOST_TEST(quarantine.NoteCrash({kInnocent, 10}, answered + Quarantine::kClearedFor));
@@ -148,9 +148,9 @@
     quarantine.NoteAnswered(kInnocent, kStart);
     BOOST_TEST(quarantine.NoteCrash({kInnocent, 2}, kStart + after));
     quarantine.Tick(kStart + after + Quarantine::kClearedFor);
-    BOOST_TEST(quarantine.EnginesOf(kInnocent) == 1u);
-    quarantine.Tick(kStart + after + Quarantine::kSuspicionLasts);
-    BOOST_TEST(quarantine.EnginesOf(kInnocent) == 0u);
+    BOOST_TEST(quarantine.CrashCount(kInnocent) == 1u);
+    quarantine.Tick(kStart + after + Quarantine::kSuspicionLifetime);
+    BOOST_TEST(quarantine.CrashCount(kInnocent) == 0u);
   }
 }
 
@@ -158,7 +158,7 @@
   Quarantine quarantine(kLasts);
   EndThree(&quarantine, kInnocent, kStart);
   Time judged = kStart + seconds(3);
-  BOOST_TEST(quarantine.Judge(judged).size() == 1);
+  BOOST_TEST(quarantine.Evaluate(judged).size() == 1);
   BOOST_TEST(quarantine.NoteAnswered(kInnocent, judged));
   BOOST_TEST(!quarantine.RefusedFor(kInnocent, judged));
   BOOST_TEST(quarantine.quarantined() == 0);
@@ -169,10 +169,10 @@
   Quarantine quarantine(kLasts);
   EndThree(&quarantine, kDeadly, kStart);
   Time judged = kStart + seconds(3);
-  quarantine.Judge(judged);
+  quarantine.Evaluate(judged);
   for (EngineKey engine : {1, 2, 3}) quarantine.NoteCrash({kInnocent, engine}, judged);
-  BOOST_TEST(quarantine.CrashesOf(kInnocent) == 0);
-  BOOST_TEST(quarantine.Judge(judged + seconds(1)).empty());
+  BOOST_TEST(quarantine.UnexplainedCrashCount(kInnocent) == 0);
+  BOOST_TEST(quarantine.Evaluate(judged + seconds(1)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(ARivalThatIsAnsweredLeavesTheOther) {
@@ -180,9 +180,9 @@
   EndThree(&quarantine, kDeadly, kStart);
   EndThree(&quarantine, kInnocent, kStart);
   Time settled = kStart + seconds(3);
-  BOOST_TEST(quarantine.Judge(settled).empty());
+  BOOST_TEST(quarantine.Evaluate(settled).empty());
   quarantine.NoteAnswered(kInnocent, settled);
-  std::vector<ContentId> guilty = quarantine.Judge(settled);
+  std::vector<ContentId> guilty = quarantine.Evaluate(settled);
   BOOST_TEST(guilty == std::vector<ContentId>{kDeadly}, boost::test_tools::per_element());
 }
 
@@ -190,27 +190,27 @@
   Quarantine quarantine(kLasts);
   EndThree(&quarantine, kDeadly, kStart);
   Time judged = kStart + seconds(3);
-  quarantine.Judge(judged);
+  quarantine.Evaluate(judged);
   BOOST_TEST((quarantine.RefusedFor(kDeadly, judged) == kLasts));
   BOOST_TEST(!quarantine.RefusedFor(kDeadly, judged + kLasts));
   quarantine.Tick(judged + kLasts);
   BOOST_TEST(quarantine.quarantined() == 0);
-  BOOST_TEST(!quarantine.Knows(kDeadly));
+  BOOST_TEST(!quarantine.HasRecordOf(kDeadly));
 }
 
 BOOST_AUTO_TEST_CASE(AnothersWordHoldsAsLongAsOwnAtMost) {
   Quarantine quarantine(kLasts);
-  BOOST_TEST(quarantine.Impose(kDeadly, 10 * kLasts, kStart));
-  BOOST_TEST(!quarantine.Impose(kDeadly, kLasts, kStart));
+  BOOST_TEST(quarantine.AdoptFromPeer(kDeadly, 10 * kLasts, kStart));
+  BOOST_TEST(!quarantine.AdoptFromPeer(kDeadly, kLasts, kStart));
   BOOST_TEST((quarantine.RefusedFor(kDeadly, kStart) == kLasts));
 }
 
 BOOST_AUTO_TEST_CASE(SuspicionFades) {
   Quarantine quarantine(kLasts);
   quarantine.NoteCrash({kInnocent, 1}, kStart);
-  quarantine.Tick(kStart + Quarantine::kSuspicionLasts - seconds(1));
+  quarantine.Tick(kStart + Quarantine::kSuspicionLifetime - seconds(1));
   BOOST_TEST(quarantine.suspects() == 1);
-  quarantine.Tick(kStart + Quarantine::kSuspicionLasts);
+  quarantine.Tick(kStart + Quarantine::kSuspicionLifetime);
   BOOST_TEST(quarantine.suspects() == 0);
 }
 
@@ -219,18 +219,18 @@
   Quarantine quarantine(kLasts);
   quarantine.NoteCrash({kDeadly, 1}, kStart);
   quarantine.NoteCrash({kDeadly, 2}, kStart + seconds(1));
-  for (ContentId i = 0; i < 3 * Quarantine::kMostSuspects; ++i) {
+  for (ContentId i = 0; i < 3 * Quarantine::kMaxSuspects; ++i) {
     quarantine.NoteCrash({1000 + i, 3}, kStart + seconds(2));
   }
-  BOOST_TEST(quarantine.suspects() <= Quarantine::kMostSuspects);
-  BOOST_TEST(quarantine.forgotten() >= 2 * Quarantine::kMostSuspects);
-  BOOST_TEST(quarantine.CrashesOf(kDeadly) == 2);
-  for (ContentId i = 0; i < 2 * Quarantine::kMostQuarantined; ++i) {
-    quarantine.Impose(1'000'000 + i, kLasts, kStart + milliseconds(i));
+  BOOST_TEST(quarantine.suspects() <= Quarantine::kMaxSuspects);
+  BOOST_TEST(quarantine.forgotten() >= 2 * Quarantine::kMaxSuspects);
+  BOOST_TEST(quarantine.UnexplainedCrashCount(kDeadly) == 2);
+  for (ContentId i = 0; i < 2 * Quarantine::kMaxQuarantined; ++i) {
+    quarantine.AdoptFromPeer(1'000'000 + i, kLasts, kStart + milliseconds(i));
   }
-  BOOST_TEST(quarantine.quarantined() == Quarantine::kMostQuarantined);
+  BOOST_TEST(quarantine.quarantined() == Quarantine::kMaxQuarantined);
   // The latest are kept.
-  ContentId latest = 1'000'000 + 2 * Quarantine::kMostQuarantined - 1;
+  ContentId latest = 1'000'000 + 2 * Quarantine::kMaxQuarantined - 1;
   BOOST_TEST(quarantine.IsQuarantined(latest, kStart + seconds(3)));
 }
 
@@ -278,47 +278,47 @@
         quarantine.NoteCrash(report, now);
         slow.Note(report);
       }
-      quarantine.Judge(now + seconds(1));
+      quarantine.Evaluate(now + seconds(1));
       std::vector<ContentId> quarantined = quarantine.Quarantined(now);
       for (ContentId one = 0; one < kContents; ++one) {
         bool is_in = quarantine.IsQuarantined(one, now);
         if (is_in) continue;
-        BOOST_REQUIRE(quarantine.CrashesOf(one) == slow.Unexplained(one, quarantined));
+        BOOST_REQUIRE(quarantine.UnexplainedCrashCount(one) == slow.Unexplained(one, quarantined));
       }
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(NewsGoesOnceAndWhatIsInQuarantineFirst) {
-  CrashNewsQueue queue;
-  for (uint64_t i = 0; i < CrashNewsQueue::kMostInPart; ++i) queue.AddCrash({i, 1});
+  CrashGossipQueue queue;
+  for (uint64_t i = 0; i < CrashGossipQueue::kMaxBatchItems; ++i) queue.AddCrash({i, 1});
   queue.AddAnswered(5);
   queue.AddQuarantined({6, kLasts});
-  CrashNews first = queue.TakePart();
+  CrashGossip first = queue.TakeBatch();
   BOOST_TEST(first.quarantined.size() == 1);
   BOOST_TEST(first.answered.size() == 1);
-  BOOST_TEST(first.crashes.size() == CrashNewsQueue::kMostInPart - 2);
-  BOOST_TEST(queue.TakePart().crashes.size() == 2);
-  BOOST_TEST(queue.TakePart().empty());
+  BOOST_TEST(first.crashes.size() == CrashGossipQueue::kMaxBatchItems - 2);
+  BOOST_TEST(queue.TakeBatch().crashes.size() == 2);
+  BOOST_TEST(queue.TakeBatch().empty());
 }
 
 BOOST_AUTO_TEST_CASE(NewsThatDoesNotFitIsCounted) {
-  CrashNewsQueue queue;
-  for (uint64_t i = 0; i < CrashNewsQueue::kMostWaiting + 10; ++i) queue.AddCrash({i, 1});
+  CrashGossipQueue queue;
+  for (uint64_t i = 0; i < CrashGossipQueue::kMaxQueued + 10; ++i) queue.AddCrash({i, 1});
   BOOST_TEST(queue.dropped() == 10);
 }
 
 BOOST_AUTO_TEST_CASE(WhoeverReportsWhatIsInQuarantineIsToldSo) {
   SharedQuarantine knows("box-1", kLasts, {});
   SharedQuarantine does_not("box-2", kLasts, {});
-  knows.Impose({kDeadly, kLasts}, "store", kStart);
+  knows.AdoptFromPeer({kDeadly, kLasts}, "store", kStart);
   does_not.NoteCrash({kDeadly, 1}, kStart);
-  CrashNews reply = knows.Hear("box-2", does_not.TakeNews(), kStart);
+  CrashGossip reply = knows.Receive("box-2", does_not.TakeGossip(), kStart);
   BOOST_TEST(reply.quarantined.size() == 1);
-  does_not.Hear("box-1", reply, kStart);
+  does_not.Receive("box-1", reply, kStart);
   BOOST_TEST(does_not.contents().IsQuarantined(kDeadly, kStart));
   // What is known is told no further.
-  BOOST_TEST(knows.Hear("box-2", {{{kDeadly, 1}}, {}, {}}, kStart).empty());
+  BOOST_TEST(knows.Receive("box-2", {{{kDeadly, 1}}, {}, {}}, kStart).empty());
 }
 
 // Two gateways that tell each other come to rest.
@@ -330,11 +330,11 @@
   right.NoteAnswered(kInnocent, kStart);
   int rounds = 0;
   for (; rounds < 10; ++rounds) {
-    CrashNews to_right = left.TakeNews();
-    CrashNews to_left = right.TakeNews();
+    CrashGossip to_right = left.TakeGossip();
+    CrashGossip to_left = right.TakeGossip();
     if (to_right.empty() && to_left.empty()) break;
-    right.Hear("box-1", to_right, kStart);
-    left.Hear("box-2", to_left, kStart);
+    right.Receive("box-1", to_right, kStart);
+    left.Receive("box-2", to_left, kStart);
   }
   BOOST_TEST(rounds < 4);
 }
@@ -342,9 +342,9 @@
 BOOST_AUTO_TEST_CASE(NewsSurvivesTheWire) {
   LoadDigest digest;
   digest.box = "box-1";
-  digest.crash_news.crashes = {{1, 2}, {3, 4}};
-  digest.crash_news.answered = {5};
-  digest.crash_news.quarantined = {{6, seconds(7)}};
+  digest.crash_gossip.crashes = {{1, 2}, {3, 4}};
+  digest.crash_gossip.answered = {5};
+  digest.crash_gossip.quarantined = {{6, seconds(7)}};
   std::optional<LoadDigest> decoded = DecodeDigest(EncodeDigest(digest));
   BOOST_REQUIRE(decoded.has_value());
   BOOST_TEST((*decoded == digest));
--- a/src/serving/testing/serving_test.cc
+++ b/src/serving/testing/serving_test.cc
@@ -14,8 +14,8 @@
 #include "serving/fleet.h"
 #include "serving/freshness.h"
 #include "serving/peer_freshness.h"
-#include "serving/proof_schedule.h"
 #include "serving/retry_bucket.h"
+#include "serving/revalidation_schedule.h"
 
 namespace gullward {
 namespace {
@@ -345,8 +345,11 @@
   };
   for (const Case& one : cases) {
     PeerSuspicion suspicion("us");
-    for (const auto& [peer, engines] : one.words) suspicion.Hear(peer, engines, 12, kStart);
-    BOOST_TEST_CONTEXT(one.name) { BOOST_TEST(suspicion.Suspects("e", kStart) == one.suspected); }
+    for (const auto& [peer, engines] : one.words)
+      suspicion.ReceiveSetAside(peer, engines, 12, kStart);
+    BOOST_TEST_CONTEXT(one.name) {
+      BOOST_TEST(suspicion.IsSuspected("e", kStart) == one.suspected);
+    }
   }
 }
 
@@ -354,12 +357,12 @@
   std::set<Duration> returns;
   for (int box = 0; box < 28; ++box) {
     PeerSuspicion suspicion("box-" + std::to_string(box));
-    suspicion.Hear("a", {"e"}, 12, kStart);
-    suspicion.Hear("b", {"e"}, 12, kStart);
+    suspicion.ReceiveSetAside("a", {"e"}, 12, kStart);
+    suspicion.ReceiveSetAside("b", {"e"}, 12, kStart);
     Duration away{};
-    while (suspicion.Suspects("e", kStart + away)) away += milliseconds(10);
-    BOOST_TEST((away >= PeerSuspicion::kWordLasts));
-    BOOST_TEST((away <= PeerSuspicion::kWordLasts + PeerSuspicion::kReturnSpread));
+    while (suspicion.IsSuspected("e", kStart + away)) away += milliseconds(10);
+    BOOST_TEST((away >= PeerSuspicion::kReportLifetime));
+    BOOST_TEST((away <= PeerSuspicion::kReportLifetime + PeerSuspicion::kReturnSpread));
     returns.insert(away);
   }
   BOOST_TEST(returns.size() > 14u);
@@ -437,17 +440,17 @@
     uint64_t content = static_cast<uint64_t>(change);
     for (CopySchedule& schedule : schedules) schedule.NoteList(content, now);
     Time until =
-        now + CopySchedule::kLeastPause + CopySchedule::kSettle + CopySchedule::kLeastSpread;
+        now + CopySchedule::kMinPause + CopySchedule::kSettleDelay + CopySchedule::kMinSpread;
     for (; now < until; now += milliseconds(1)) {
       for (CopySchedule& schedule : schedules) {
         if (!schedule.IsDue(now)) continue;
         schedule.NoteWritten(now);
         writes += 1;
-        const CopyMark mark = schedule.copy();
+        const CopyVersion mark = schedule.copy();
         for (CopySchedule& other : schedules) other.NoteCopy(mark, now);
       }
     }
-    for (const CopySchedule& schedule : schedules) BOOST_TEST(schedule.copy().content == content);
+    for (const CopySchedule& schedule : schedules) BOOST_TEST(schedule.copy().fingerprint == content);
   }
   BOOST_TEST(writes >= kChanges);
   BOOST_TEST(writes <= kChanges + kChanges / 4);
@@ -458,14 +461,14 @@
   BOOST_TEST(!schedule.IsDue(kStart));
   schedule.NoteList(7, kStart);
   BOOST_TEST(!schedule.IsDue(kStart));
-  Time due = kStart + CopySchedule::kSettle + CopySchedule::kLeastSpread;
+  Time due = kStart + CopySchedule::kSettleDelay + CopySchedule::kMinSpread;
   BOOST_TEST(schedule.IsDue(due));
   schedule.NoteWritten(due);
-  Time next_due = due + CopySchedule::kLeastPause + CopySchedule::kLeastSpread;
+  Time next_due = due + CopySchedule::kMinPause + CopySchedule::kMinSpread;
   BOOST_TEST(!schedule.IsDue(next_due));
   schedule.NoteFailed();
   BOOST_TEST(!schedule.IsDue(due));
-  BOOST_TEST(!schedule.IsDue(due + CopySchedule::kLeastPause - milliseconds(1)));
+  BOOST_TEST(!schedule.IsDue(due + CopySchedule::kMinPause - milliseconds(1)));
   BOOST_TEST(schedule.IsDue(next_due));
   schedule.NoteCopy({2, 7}, next_due);
   BOOST_TEST(!schedule.IsDue(next_due + seconds(60)));
@@ -475,9 +478,9 @@
   CopySchedule schedule(1);
   schedule.NoteCopy({5, 50}, kStart);
   schedule.NoteCopy({4, 40}, kStart);
-  BOOST_TEST(schedule.copy().content == 50u);
+  BOOST_TEST(schedule.copy().fingerprint == 50u);
   schedule.NoteCopy({6, 60}, kStart);
-  BOOST_TEST(schedule.copy().content == 60u);
+  BOOST_TEST(schedule.copy().fingerprint == 60u);
 }
 
 // Engines come and go twice a second, each gateway reads of it at a moment of its own, and
@@ -508,11 +511,11 @@
         }
         if (now < tells[i]) continue;
         tells[i] = now + milliseconds(250) + within(250);
-        const CopyMark mark = schedules[i].copy();
+        const CopyVersion mark = schedules[i].copy();
         for (CopySchedule& other : schedules) other.NoteCopy(mark, now);
       }
     }
-    double pauses = ToSeconds(time) / ToSeconds(CopySchedule::kLeastPause);
+    double pauses = ToSeconds(time) / ToSeconds(CopySchedule::kMinPause);
     BOOST_TEST(writes <= 1.5 * pauses, gateways << " gateways: " << writes);
     BOOST_TEST(writes >= pauses / 3, gateways << " gateways: " << writes);
   }
@@ -546,7 +549,7 @@
 
 ProofRun RunSchedules(int processes, std::optional<Duration> delay) {
   const Duration trust = seconds(5);
-  std::vector<ProofSchedule> schedules;
+  std::vector<RevalidationSchedule> schedules;
   for (int i = 0; i < processes; ++i) schedules.emplace_back(trust, 100 + i);
   std::vector<Time> proved(schedules.size(), kStart);
   std::vector<std::pair<Time, Time>> told;  // When it is heard, and what it proves.
@@ -559,8 +562,8 @@
     for (size_t i = 0; i < schedules.size(); ++i) {
       run.oldest = std::max(run.oldest, now - proved[i]);
       if (!schedules[i].IsDue(proved[i], now)) continue;
-      schedules[i].NoteAsked();
-      schedules[i].NoteProved();
+      schedules[i].NoteRequested();
+      schedules[i].NoteValidated();
       proved[i] = now;
       run.proofs += 1;
       if (delay) told.emplace_back(now + *delay, now);
@@ -589,14 +592,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(AfterNewsAProofIsAskedForAgainAfterAPause) {
-  ProofSchedule schedule(seconds(5), 1);
+  RevalidationSchedule schedule(seconds(5), 1);
   Time late = kStart + seconds(4);
   BOOST_TEST(schedule.IsDue(kStart, late));
-  schedule.NoteAsked();
+  schedule.NoteRequested();
   BOOST_TEST(!schedule.IsDue(kStart, late));
   schedule.NoteBehind(late);
   BOOST_TEST(!schedule.IsDue(kStart, late));
-  BOOST_TEST(schedule.IsDue(kStart, late + ProofSchedule::kNewsPause));
+  BOOST_TEST(schedule.IsDue(kStart, late + RevalidationSchedule::kNewerConfigPause));
 }
 
 BOOST_AUTO_TEST_CASE(PeersWorkIsCountedOnceAndForgottenWhenTheyFallSilent) {
@@ -695,13 +698,13 @@
       us.BeginRound(now);
       FreshnessNote ours = us.NoteFor("peer", 7, now, now);
       now += milliseconds(random() % 3000);  // On its way, or in a frozen process.
-      if (random() % 4 != 0) peer.Hear("us", 1, ours, 7, now);
+      if (random() % 4 != 0) peer.ReceiveNote("us", 1, ours, 7, now);
       now += milliseconds(random() % 700);
       peer.BeginRound(now);
       Time truth = now - milliseconds(random() % 2000);
       FreshnessNote theirs = peer.NoteFor("us", 7, truth, now);
       now += milliseconds(random() % 3000);
-      std::optional<Time> proved = us.Hear("peer", 2, theirs, 7, now);
+      std::optional<Time> proved = us.ReceiveNote("peer", 2, theirs, 7, now);
       if (proved) BOOST_REQUIRE((*proved <= truth));
     }
   }
@@ -711,18 +714,18 @@
   PeerFreshness us(1);
   us.BeginRound(kStart);
   FreshnessNote note{1, 7, milliseconds(100), 1, milliseconds(20), 1};
-  BOOST_TEST(us.Hear("p", 2, note, 7, kStart).has_value());
-  BOOST_TEST((*us.Hear("p", 2, note, 7, kStart) == kStart - milliseconds(80)));
+  BOOST_TEST(us.ReceiveNote("p", 2, note, 7, kStart).has_value());
+  BOOST_TEST((*us.ReceiveNote("p", 2, note, 7, kStart) == kStart - milliseconds(80)));
   // We are newer than the peer was: what it read then, we hold.
-  BOOST_TEST(us.Hear("p", 2, note, 8, kStart).has_value());
-  BOOST_TEST(!us.Hear("p", 2, note, 6, kStart).has_value());
-  BOOST_TEST(us.newest_version_told() == 7u);
+  BOOST_TEST(us.ReceiveNote("p", 2, note, 8, kStart).has_value());
+  BOOST_TEST(!us.ReceiveNote("p", 2, note, 6, kStart).has_value());
+  BOOST_TEST(us.newest_peer_version() == 7u);
   note.echoed_incarnation = 9;
-  BOOST_TEST(!us.Hear("p", 2, note, 7, kStart).has_value());
+  BOOST_TEST(!us.ReceiveNote("p", 2, note, 7, kStart).has_value());
   note = {2, 7, milliseconds(100), 0, milliseconds(20), 1};
-  BOOST_TEST(!us.Hear("p", 2, note, 7, kStart).has_value());
+  BOOST_TEST(!us.ReceiveNote("p", 2, note, 7, kStart).has_value());
   note.echoed_round = 99;
-  BOOST_TEST(!us.Hear("p", 2, note, 7, kStart).has_value());
+  BOOST_TEST(!us.ReceiveNote("p", 2, note, 7, kStart).has_value());
 }
 
 }  // namespace
--- a/src/serving/testing/store_epoch_test.cc
+++ b/src/serving/testing/store_epoch_test.cc
@@ -13,12 +13,12 @@
 
 #include "serving/departures.h"
 #include "serving/engine_directory.h"
-#include "serving/epoch_mark.h"
+#include "serving/settled_epoch.h"
 
 namespace gullward {
 namespace {
 
-using Standing = StoreEpoch::Standing;
+using AnswerStatus = StoreEpoch::AnswerStatus;
 
 const Time kStart = Time{} + seconds(1000);
 constexpr std::optional<uint64_t> kNone = std::nullopt;
@@ -30,7 +30,7 @@
     std::optional<uint64_t> epoch;
     int sent_ms;
     int came_ms;
-    Standing standing;
+    AnswerStatus standing;
   };
   struct Row {
     const char* name;
@@ -38,37 +38,37 @@
   };
   const Row table[] = {
       {"a store that tells none",
-       {{kNone, 0, 10, Standing::kCurrent}, {kNone, 5, 20, Standing::kCurrent}}},
+       {{kNone, 0, 10, AnswerStatus::kCurrent}, {kNone, 5, 20, AnswerStatus::kCurrent}}},
       {"one return",
-       {{4, 0, 10, Standing::kCurrent},
-        {5, 20, 30, Standing::kReturned},
-        {5, 40, 50, Standing::kCurrent}}},
+       {{4, 0, 10, AnswerStatus::kCurrent},
+        {5, 20, 30, AnswerStatus::kReturned},
+        {5, 40, 50, AnswerStatus::kCurrent}}},
       {"several returns at once",
-       {{4, 0, 10, Standing::kCurrent}, {9, 20, 30, Standing::kReturned}}},
+       {{4, 0, 10, AnswerStatus::kCurrent}, {9, 20, 30, AnswerStatus::kReturned}}},
       {"an older answer comes late",
-       {{4, 0, 10, Standing::kCurrent},
-        {5, 20, 30, Standing::kReturned},
-        {4, 15, 40, Standing::kOutdated},
-        {5, 50, 60, Standing::kCurrent}}},
+       {{4, 0, 10, AnswerStatus::kCurrent},
+        {5, 20, 30, AnswerStatus::kReturned},
+        {4, 15, 40, AnswerStatus::kOutdated},
+        {5, 50, 60, AnswerStatus::kCurrent}}},
       {"a higher one whose call is old",
-       {{4, 0, 10, Standing::kCurrent},
-        {5, 20, 30, Standing::kReturned},
-        {6, 5, 40, Standing::kReturned}}},
+       {{4, 0, 10, AnswerStatus::kCurrent},
+        {5, 20, 30, AnswerStatus::kReturned},
+        {6, 5, 40, AnswerStatus::kReturned}}},
       {"a store that begins to tell",
-       {{kNone, 0, 10, Standing::kCurrent}, {1, 20, 30, Standing::kReturned}}},
+       {{kNone, 0, 10, AnswerStatus::kCurrent}, {1, 20, 30, AnswerStatus::kReturned}}},
       {"an answer without, sent before",
-       {{4, 0, 10, Standing::kCurrent}, {kNone, 5, 20, Standing::kOutdated}}},
+       {{4, 0, 10, AnswerStatus::kCurrent}, {kNone, 5, 20, AnswerStatus::kOutdated}}},
       {"a store that ceases to tell",
-       {{4, 0, 10, Standing::kCurrent},
-        {kNone, 20, 30, Standing::kReturned},
-        {kNone, 40, 50, Standing::kCurrent}}},
+       {{4, 0, 10, AnswerStatus::kCurrent},
+        {kNone, 20, 30, AnswerStatus::kReturned},
+        {kNone, 40, 50, AnswerStatus::kCurrent}}},
       {"a store that counts anew",
-       {{4, 0, 10, Standing::kCurrent}, {1, 20, 30, Standing::kReturned}}},
+       {{4, 0, 10, AnswerStatus::kCurrent}, {1, 20, 30, AnswerStatus::kReturned}}},
   };
   for (const Row& row : table) {
     StoreEpoch epoch;
     for (const Answer& answer : row.answers) {
-      Standing standing = epoch.Hear(answer.epoch, At(answer.sent_ms), At(answer.came_ms));
+      AnswerStatus standing = epoch.OnAnswer(answer.epoch, At(answer.sent_ms), At(answer.came_ms));
       BOOST_TEST((standing == answer.standing), row.name);
     }
   }
@@ -80,25 +80,25 @@
   BOOST_TEST(!never_heard.IsSettledFor(later));
 
   StoreEpoch without;
-  without.Hear(kNone, At(0), At(10));
+  without.OnAnswer(kNone, At(0), At(10));
   BOOST_TEST(without.IsSettledFor(At(0)));
 
   StoreEpoch started;
-  started.Hear(7, At(0), At(10));
+  started.OnAnswer(7, At(0), At(10));
   BOOST_TEST(!started.IsSettledFor(At(20)));
   BOOST_TEST(!started.IsSettledFor(later - milliseconds(1)));
   BOOST_TEST(started.IsSettledFor(later));
   // Another epoch's mark says nothing; this one's does.
-  started.Settle(6, At(30));
+  started.MarkSettled(6, At(30));
   BOOST_TEST(!started.IsSettledFor(At(40)));
-  started.Settle(7, At(50));
+  started.MarkSettled(7, At(50));
   BOOST_TEST(!started.IsSettledFor(At(40)));
   BOOST_TEST(started.IsSettledFor(At(50)));
   // The next return unsettles it, and a mark that comes late does not settle it earlier.
-  started.Hear(8, At(60), At(70));
+  started.OnAnswer(8, At(60), At(70));
   BOOST_TEST(!started.IsSettledFor(At(80)));
   BOOST_TEST(started.IsSettledFor(At(70) + StoreEpoch::kRewriteTime));
-  started.Settle(8, At(70) + 2 * StoreEpoch::kRewriteTime);
+  started.MarkSettled(8, At(70) + 2 * StoreEpoch::kRewriteTime);
   BOOST_TEST(started.IsSettledFor(At(70) + StoreEpoch::kRewriteTime));
 }
 
@@ -129,7 +129,7 @@
           store_epoch += 1 + below(2);
           break;
         default: {
-          epoch.Hear(store_epoch, now - milliseconds(50), now);
+          epoch.OnAnswer(store_epoch, now - milliseconds(50), now);
           bool has_place = read_in == epoch.current() && read.size() <= log.size();
           size_t from = has_place ? read.size() : 0;
           if (!has_place) read.clear();
@@ -143,9 +143,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(MarksAreNumbers) {
-  BOOST_TEST((DecodeEpochMark(EncodeEpochMark(17)) == std::optional<uint64_t>(17)));
+  BOOST_TEST((DecodeSettledEpoch(EncodeSettledEpoch(17)) == std::optional<uint64_t>(17)));
   for (const char* value : {"", "x", "-1", "1.5", "99999999999999999999999", "1 2"}) {
-    BOOST_TEST(!DecodeEpochMark(value).has_value(), value);
+    BOOST_TEST(!DecodeSettledEpoch(value).has_value(), value);
   }
 }
 
--- a/src/trial/crash_trial.cc
+++ b/src/trial/crash_trial.cc
@@ -159,14 +159,14 @@
   void StartEmpty(size_t number) {
     Gateway* gateway = &this->gateways[number];
     SharedQuarantine::Hooks hooks;
-    hooks.quarantined = [this, number](const QuarantineWord& word, const std::string& by) {
+    hooks.quarantined = [this, number](const QuarantineReport& word, const std::string& by) {
       this->OnQuarantined(number, word, by);
     };
     gateway->shared = std::make_unique<SharedQuarantine>(gateway->box, kLasts, hooks);
   }
 
   // Only the judge writes here; in the gateway every witness would.
-  void OnQuarantined(size_t number, const QuarantineWord& word, const std::string& by) {
+  void OnQuarantined(size_t number, const QuarantineReport& word, const std::string& by) {
     this->NoteKnown(word.content);
     if (by != this->gateways[number].box) return;
     Duration wait = FromSeconds(this->Draw() * ToSeconds(kWitnessSpread));
@@ -187,7 +187,7 @@
   void ReadStore(size_t number, ContentId content) {
     Gateway& gateway = this->gateways[number];
     if (!gateway.is_up || gateway.is_cut || gateway.is_suspended) return;
-    gateway.shared->Impose({content, kLasts}, "store", this->now());
+    gateway.shared->AdoptFromPeer({content, kLasts}, "store", this->now());
   }
 
   void ReadWholeStore(size_t number) {
@@ -219,22 +219,22 @@
   }
 
   void TellNews(size_t from) {
-    CrashNews news = this->gateways[from].shared->TakeNews();
+    CrashGossip news = this->gateways[from].shared->TakeGossip();
     if (news.empty()) return;
     std::vector<size_t> others;
     for (size_t i = 0; i < this->gateways.size(); ++i) {
       if (i != from) others.push_back(i);
     }
     std::vector<size_t> drawn;
-    std::sample(others.begin(), others.end(), std::back_inserter(drawn), CrashNewsQueue::kFanout,
+    std::sample(others.begin(), others.end(), std::back_inserter(drawn), CrashGossipQueue::kFanout,
                 this->random);
     for (size_t to : drawn) this->SendNews(from, to, news);
   }
 
-  void SendNews(size_t from, size_t to, const CrashNews& news) {
+  void SendNews(size_t from, size_t to, const CrashGossip& news) {
     LoadDigest digest;
     digest.box = this->gateways[from].box;
-    digest.crash_news = news;
+    digest.crash_gossip = news;
     this->datagrams += 1;
     this->bytes += EncodeDigest(digest).size();
     if (this->gateways[from].is_cut || this->Draw() < this->options.datagrams_lost) return;
@@ -242,7 +242,7 @@
     this->events.After(delay, [this, from, to, news] {
       Gateway& receiver = this->gateways[to];
       if (!receiver.is_up || receiver.is_cut || receiver.is_suspended) return;
-      CrashNews reply = receiver.shared->Hear(this->gateways[from].box, news, this->now());
+      CrashGossip reply = receiver.shared->Receive(this->gateways[from].box, news, this->now());
       if (!reply.empty()) this->SendNews(to, from, reply);
     });
   }
@@ -260,7 +260,7 @@
   // By the shared order, or by an order of its own where an engine has ended under it.
   std::optional<size_t> Choose(const Request& request) {
     const Quarantine& contents = this->gateways[request.gateway].shared->contents();
-    bool scatter = this->options.quarantine && contents.CrashesOf(request.content) > 0;
+    bool scatter = this->options.quarantine && contents.UnexplainedCrashCount(request.content) > 0;
     std::optional<size_t> best;
     uint64_t best_order = 0;
     for (size_t i = 0; i < this->engines.size(); ++i) {
@@ -321,7 +321,7 @@
     bool passes_on = gateway.is_up && !gateway.is_suspended;
     if (passes_on) {
       this->result.innocent_served += 1;
-      if (gateway.shared->contents().Knows(request.content)) {
+      if (gateway.shared->contents().HasRecordOf(request.content)) {
         gateway.shared->NoteAnswered(request.content, this->now());
       }
     }
@@ -344,7 +344,7 @@
   }
 
   void CountEnd(ContentId content) {
-    if (++this->ends_under[content] == Quarantine::kCrashesNeeded) {
+    if (++this->ends_under[content] == Quarantine::kMinCrashes) {
       this->third_end[content] = this->now();
     }
   }
--- a/src/trial/limit_trial.cc
+++ b/src/trial/limit_trial.cc
@@ -315,14 +315,14 @@
          gateway->peers.MembersOf(kService, mine.cells, mine.home, plan.revision())) {
       boxes.push_back(peer->box);
     }
-    gateway->fleet->SetSilentGateways(gateway->liveness.Silent(boxes, this->now()));
+    gateway->fleet->SetSilentGateways(gateway->liveness.SilentPeers(boxes, this->now()));
   }
 
   void SendToCell(Gateway* gateway, const LoadDigest& digest) {
     const WorkPlan& plan = gateway->fleet->plan(this->now());
     const ServicePlan& mine = plan.Of(kService);
     std::vector<const Peer*> members =
-        gateway->peers.NextOf(kService, mine.cells, mine.home, plan.revision());
+        gateway->peers.MembersForRound(kService, mine.cells, mine.home, plan.revision());
     bool in_need = this->now() >= kStart + this->options.need_from &&
                    this->now() < kStart + this->options.need_to;
     if (in_need && !digest.notices.empty()) {
@@ -353,7 +353,7 @@
   }
 
   void Hear(Gateway* gateway, const LoadDigest& digest) {
-    gateway->liveness.Hear(digest.box, this->now());
+    gateway->liveness.OnDatagram(digest.box, this->now());
     for (const auto& [engine, word] : digest.notices) {
       gateway->fleet->notices().HearWord(engine, word, this->now());
     }
--- a/src/trial/scale_trial.cc
+++ b/src/trial/scale_trial.cc
@@ -158,7 +158,7 @@
     const WorkPlan& plan = gateway->fleet.plan(this->events.now());
     const ServicePlan& mine = plan.Of(kService);
     std::vector<const Peer*> members =
-        gateway->peers.NextOf(kService, mine.cells, mine.home, plan.revision());
+        gateway->peers.MembersForRound(kService, mine.cells, mine.home, plan.revision());
     this->datagrams += members.size();
     this->bytes += members.size() * EncodeDigest(digest).size();
     std::vector<Gateway*> receivers;
--- a/src/trial/testing/crash_trial_test.cc
+++ b/src/trial/testing/crash_trial_test.cc
@@ -14,7 +14,7 @@
 // the time to hear of it.
 constexpr uint64_t kMostSentAfter = 3;
 // Contents that come at once; each shows itself by ending three engines.
-constexpr uint64_t kEnginesEach = Quarantine::kCrashesNeeded;
+constexpr uint64_t kEnginesEach = Quarantine::kMinCrashes;
 
 struct Size {
   size_t gateways;
