--- a/src/serving/copy_schedule.h
+++ b/src/serving/copy_schedule.h
@@ -1,18 +1,19 @@
-// When a gateway writes the engines' list to the copy that all gateways share.
+// Decides when a gateway writes the engine list to the copy that all gateways share.
 //
-// Every gateway has the same list, so one write serves all, and nobody is appointed to
-// make it.  After a change each waits for a time of its own drawing, the longer the more
-// gateways hear of one another; whoever comes first writes, and tells the others by its
-// datagrams what the copy holds.  Two that write at the same moment write the same.
+// All gateways have the same list, so one write by any of them is enough, and no gateway is
+// assigned to it.  After a change each gateway waits for a random delay.  The first gateway whose
+// delay ends writes the copy and sends its version to the others in its datagrams, and these
+// then need no write of their own.  The delays are spread over a longer time if there are more
+// gateways.  Two gateways that write at the same moment write the same content.
 //
-// Words on the copy pass from gateway to gateway and may be old when they come.  So each
-// write has a revision, one more than the highest that its writer knew, and only a higher
-// one replaces what is known: else two contents would go round and round, and everybody
-// whose list is the other one would write.
+// Versions pass from gateway to gateway and may be outdated when they arrive.  Each write
+// therefore has a revision that is one higher than the highest that the writer has received, and
+// only a higher revision replaces a recorded version.  Without revisions two versions could
+// circulate forever, and each gateway would write whenever it received the other one.
 //
 //   CopySchedule schedule(seed);
-//   schedule.NoteList(fingerprint, now);         // our list has changed
-//   schedule.NoteCopy(mark, now);                // a peer says what the copy has
+//   schedule.NoteList(fingerprint, now);         // this gateway's list has changed
+//   schedule.NoteCopy(version, now);             // a peer has sent the version of the copy
 //   if (schedule.IsDue(now)) { write; schedule.NoteWritten(now); }
 
 #ifndef GULLWARD_SERVING_COPY_SCHEDULE_H_
@@ -27,11 +28,11 @@
 
 namespace gullward {
 
-// What the copy holds, as far as a gateway knows.
+// Identifies what the copy holds.  Versions are ordered by revision.
 struct CopyVersion {
-  // Of the write that it is from; 0 where none is known.
+  // Number of the write; 0 if no write has been recorded.
   uint64_t revision = 0;
-  // The list's fingerprint; 0 where it is not known.
+  // Hash of the list; 0 if unknown.
   uint64_t fingerprint = 0;
 
   auto operator<=>(const CopyVersion&) const = default;
@@ -39,50 +40,53 @@
 
 class CopySchedule {
  public:
-  // Engines come and go in groups; each write is a call to the store.
+  // Delay after a change before the list is written.  Engines start and stop in groups, and each
+  // write costs a call to the store.
   static constexpr Duration kSettleDelay = milliseconds(300);
-  // Over which the gateways spread, at least and for each of them: the news of a write takes
-  // a third of a second, within which one more of them should come on the mean.
+  // The random delays are spread over kSpreadPerGateway for each gateway, and at least over
+  // kMinSpread.  A new version reaches the other gateways in a third of a second, and on average
+  // at most one more gateway should write in this time.
   static constexpr Duration kMinSpread = milliseconds(1200);
   static constexpr Duration kSpreadPerGateway = milliseconds(400);
-  // Between two writes of the copy, whoever makes them.
+  // Time between two writes of the copy by any gateways.
   static constexpr Duration kMinPause = seconds(2);
 
   explicit CopySchedule(uint64_t seed) : random(seed) {}
 
-  // How many gateways tell each other of the copy.
+  // Sets the number of gateways that send each other the version of the copy.
   void SetGateways(size_t count) {
     this->spread = std::max<Duration>(kMinSpread, count * kSpreadPerGateway);
   }
 
-  // Our list has this content now.
+  // Records that this gateway's list has this fingerprint now.
   void NoteList(uint64_t fingerprint, Time now) {
     if (fingerprint == this->list_fingerprint) return;
     this->list_fingerprint = fingerprint;
     this->due_at = std::max(now + kSettleDelay, this->paused_until) + this->RandomDelay();
   }
 
-  // The copy holds this, as a peer says.
-  void NoteCopy(const CopyVersion& mark, Time now) {
-    if (mark <= this->copied) return;
-    this->copied = mark;
+  // Records the version of the copy that a peer has sent.
+  void NoteCopy(const CopyVersion& version, Time now) {
+    if (version <= this->copied) return;
+    this->copied = version;
     this->Pause(now);
   }
 
-  // We have begun to write our list.
+  // Records that this gateway has started to write its list.
   void NoteWritten(Time now) {
     this->copied = {this->copied.revision + 1, this->list_fingerprint};
     this->Pause(now);
   }
 
-  // The write failed: it is due again after the usual pause.
+  // Records that the write failed.  It is due again after the usual pause.
   void NoteFailed() { this->copied.fingerprint = 0; }
 
-  // The store has lost what it held, and is to be left alone until then.
-  void NoteStoreReturn(Time left_alone_until) {
+  // Records that the store was restored from a backup and may have lost the copy.  No write is due
+  // before `not_before`.
+  void NoteStoreReturn(Time not_before) {
     this->copied.fingerprint = 0;
-    this->paused_until = left_alone_until;
-    this->due_at = left_alone_until + this->RandomDelay();
+    this->paused_until = not_before;
+    this->due_at = not_before + this->RandomDelay();
   }
 
   bool IsDue(Time now) const {
@@ -91,7 +95,7 @@
     return is_wanted && now >= this->due_at;
   }
 
-  // What we tell peers.
+  // The version to send to peers.
   const CopyVersion& copy() const { return this->copied; }
 
  private:
--- a/src/serving/crash_gossip.h
+++ b/src/serving/crash_gossip.h
@@ -1,17 +1,18 @@
-// News of engines that ended under requests, as it passes from gateway to gateway.
+// Crash reports as gateways spread them among each other.
 //
-// Every gateway must hear of it, in every cell, within a fraction of a second, and nobody may
-// have to tell all the others: so whoever has news tells it once to a few peers drawn by
-// chance, and so does each who hears it for the first time.  With kFanout peers each, 300
-// gateways have it after four hops; the one in a few hundred whom chance passes over learns it
-// from the store, or from whomever it tells something that others know better.  What a
-// gateway sends for one piece of news is the same in a fleet of any size.
+// Every gateway in every cell must receive a report within a fraction of a second, and no
+// gateway may have to send it to all others.  The reports are therefore spread by gossip: a
+// gateway that sees a crash, or receives a report for the first time, sends it once to kFanout
+// randomly chosen peers.  300 gateways receive a report within four hops.  The one gateway in a
+// few hundred that no peer chooses reads the result from the store, or receives it in the reply
+// when it sends an outdated report itself.  The number of datagrams that a gateway sends for one
+// report does not depend on the size of the fleet.
 //
-//   CrashNewsQueue queue;
-//   queue.Add(report);                         // new to us
-//   while (queue.has_any()) Send(queue.TakePart());
+//   CrashGossipQueue queue;
+//   queue.AddCrash(report);                       // seen here, or received for the first time
+//   while (queue.has_any()) Send(queue.TakeBatch());
 //
-// The queue is bounded; what does not fit is dropped and counted.
+// The queue is bounded.  Items that do not fit are dropped and counted.
 
 #ifndef GULLWARD_SERVING_CRASH_GOSSIP_H_
 #define GULLWARD_SERVING_CRASH_GOSSIP_H_
@@ -25,7 +26,7 @@
 
 namespace gullward {
 
-// A content in quarantine, and for how much longer.
+// A content in quarantine and the time that is left until its quarantine ends.
 struct QuarantineReport {
   ContentId content = 0;
   Duration left{};
@@ -33,10 +34,10 @@
   bool operator==(const QuarantineReport&) const = default;
 };
 
-// What one datagram carries.
+// The gossip in one datagram.
 struct CrashGossip {
   std::vector<CrashReport> crashes;
-  // Contents that were answered whole, so that nothing is held against them.
+  // Contents that were answered completely, so that crashes no longer count against them.
   std::vector<ContentId> answered;
   std::vector<QuarantineReport> quarantined;
 
@@ -49,40 +50,42 @@
 
 class CrashGossipQueue {
  public:
-  // Peers that are told one piece of news.  The part of a large fleet that nobody tells is
-  // e to the minus so many, one in 400.
+  // Peers to which each item is sent.  In a large fleet the share of gateways that receive an
+  // item from no peer is e^-kFanout, or one in 400.
   static constexpr size_t kFanout = 6;
-  // In one datagram: 16 bytes each, so under the usual 1,400 with the rest of it.
+  // Items in one datagram.  An item takes 16 bytes, so the datagram with its other fields stays
+  // below the usual limit of 1,400 bytes.
   static constexpr size_t kMaxBatchItems = 48;
-  // That wait to be sent: the ends of a hundred engines with twenty requests each.
+  // Items in the queue: the crashes of a hundred engines with twenty requests each.
   static constexpr size_t kMaxQueued = 2048;
 
   void AddCrash(const CrashReport& report) { this->Add(&this->crashes, report); }
   void AddAnswered(ContentId content) { this->Add(&this->answered, content); }
-  void AddQuarantined(const QuarantineReport& word) { this->Add(&this->quarantined, word); }
+  void AddQuarantined(const QuarantineReport& report) { this->Add(&this->quarantined, report); }
 
-  bool has_any() const { return this->waiting() > 0; }
+  bool has_any() const { return this->queued() > 0; }
 
-  // The next part: what is in quarantine first, since each moment may cost an engine.
+  // Returns the items for the next datagram.  Quarantined contents go first, since a delay may
+  // cost another engine.
   CrashGossip TakeBatch() {
-    CrashGossip part;
+    CrashGossip batch;
     size_t room = kMaxBatchItems;
-    room -= Move(&this->quarantined, &part.quarantined, room);
-    room -= Move(&this->answered, &part.answered, room);
-    Move(&this->crashes, &part.crashes, room);
-    return part;
+    room -= Move(&this->quarantined, &batch.quarantined, room);
+    room -= Move(&this->answered, &batch.answered, room);
+    Move(&this->crashes, &batch.crashes, room);
+    return batch;
   }
 
   uint64_t dropped() const { return this->dropped_count; }
 
  private:
-  size_t waiting() const {
+  size_t queued() const {
     return this->crashes.size() + this->answered.size() + this->quarantined.size();
   }
 
   template <typename Item>
   void Add(std::deque<Item>* queue, const Item& item) {
-    if (this->waiting() >= kMaxQueued) {
+    if (this->queued() >= kMaxQueued) {
       this->dropped_count += 1;
       return;
     }
@@ -90,9 +93,9 @@
   }
 
   template <typename Item>
-  static size_t Move(std::deque<Item>* from, std::vector<Item>* to, size_t most) {
+  static size_t Move(std::deque<Item>* from, std::vector<Item>* to, size_t max_items) {
     size_t moved = 0;
-    for (; moved < most && !from->empty(); ++moved) {
+    for (; moved < max_items && !from->empty(); ++moved) {
       to->push_back(from->front());
       from->pop_front();
     }
--- a/src/serving/engine_list.cc
+++ b/src/serving/engine_list.cc
@@ -1,4 +1,4 @@
-// To and from FlatBuffers; the schema is gullward.fbs.
+// Encoding and decoding with FlatBuffers; the schema is gullward.fbs.
 
 #include "serving/engine_list.h"
 
@@ -7,7 +7,9 @@
 namespace gullward {
 namespace {
 
-std::string TextOf(const flatbuffers::String* text) { return text == nullptr ? "" : text->str(); }
+std::string StringOrEmpty(const flatbuffers::String* text) {
+  return text == nullptr ? "" : text->str();
+}
 
 }  // namespace
 
@@ -32,10 +34,10 @@
   if (packed->engines() == nullptr) return std::nullopt;
   std::vector<EngineRecord> engines;
   for (const fb::EngineEntry* entry : *packed->engines()) {
-    absl::StatusOr<SocketAddress> address = SocketAddress::Parse(TextOf(entry->address()));
+    absl::StatusOr<SocketAddress> address = SocketAddress::Parse(StringOrEmpty(entry->address()));
     if (!address.ok()) return std::nullopt;
-    engines.push_back({TextOf(entry->id()), TextOf(entry->service()), *address,
-                       TextOf(entry->data_centre()), entry->slots(), entry->draining(),
+    engines.push_back({StringOrEmpty(entry->id()), StringOrEmpty(entry->service()), *address,
+                       StringOrEmpty(entry->data_centre()), entry->slots(), entry->draining(),
                        entry->born()});
   }
   return engines;
--- a/src/serving/engine_list.h
+++ b/src/serving/engine_list.h
@@ -1,4 +1,5 @@
-// A part of the engines' list as gateways keep it in a topic of their own.
+// The record format of the engine list copy that gateways keep in a topic of their own.  One
+// record holds a part of the list.
 //
 //   std::string value = EncodeEngineList(engines);
 //   std::optional<std::vector<EngineRecord>> engines = DecodeEngineList(value);
@@ -17,7 +18,7 @@
 
 std::string EncodeEngineList(const std::vector<EngineRecord>& engines);
 
-// Nothing if the bytes are no such list, or an address in it is none.
+// Empty if `value` is not a valid list or contains an invalid address.
 std::optional<std::vector<EngineRecord>> DecodeEngineList(std::string_view value);
 
 }  // namespace gullward
--- a/src/serving/freshness.h
+++ b/src/serving/freshness.h
@@ -1,14 +1,13 @@
-// Until when this process may vouch for API keys.
+// Decides until when this process may accept API keys.
 //
-// An operator who takes a key away may need to rely on it after a fixed time,
-// also where a process has lost touch with the configuration.  A read of the
-// newest configuration proves what was in force when the read was *sent*; so a
-// process may accept keys for the bound from that moment and not longer.
+// An operator who revokes a key may rely on the key being refused after a fixed time, also by a
+// process that has lost its connection to the configuration.  A read of the newest configuration
+// proves what was in force when the read was *sent*.  A process may therefore accept keys for the
+// bounded time from that moment, and no longer.
 //
-// An operator who does not bound the taking away of keys is served better by
-// keys that hold until a newer configuration says otherwise: while the store is
-// down, every box would otherwise refuse every request that needs a key once the
-// bound has passed, though all engines are free.
+// An operator who sets no bound on revocation is better served by keys that stay valid until a
+// newer configuration changes them.  With a bound, a store that is down longer than the bound
+// makes every box refuse every request that needs a key, although all engines are free.
 //
 //   KeyFreshness freshness(seconds(5), KeyTrust::kBounded);
 //   freshness.Confirm(read_sent_at);
@@ -23,33 +22,34 @@
 
 namespace gullward {
 
-// How long keys are vouched for after the configuration was proved current.
+// How long keys are accepted after the configuration was validated.
 enum class KeyTrust {
-  // For the bound; then not until the next proof.
+  // For the bounded time, and then not until the next validation.
   kBounded,
-  // Until a newer configuration changes them: the operator has not bounded the
-  // time in which a key that is taken away stops working.
+  // Until a newer configuration changes them: the operator has set no bound on the time in which
+  // a revoked key stops working.
   kUntilChanged,
 };
 
 class KeyFreshness {
  public:
-  // Kept back for the way from the check to the engine and for a slow clock.
+  // Subtracted from the bound, for the time from the check to the engine and for a slow clock.
   static constexpr Duration kMargin = milliseconds(100);
 
-  explicit KeyFreshness(Duration bound_on_trust, KeyTrust how_long = KeyTrust::kBounded)
-      : bound(bound_on_trust), trust(how_long) {}
+  explicit KeyFreshness(Duration trust_bound, KeyTrust trust_mode = KeyTrust::kBounded)
+      : bound(trust_bound), trust(trust_mode) {}
 
-  // A read that was sent at `sent` has come back whole.
+  // Records that a read sent at `sent` was answered completely.
   void Confirm(Time sent) { this->confirmed = std::max(this->confirmed, sent); }
 
-  // Whether keys may be accepted at `now`.  Never before the first proof.
+  // Whether keys may be accepted at `now`.  False before the first validation.
   bool IsFresh(Time now) const {
     if (this->confirmed == Time{}) return false;
     if (this->trust == KeyTrust::kUntilChanged) return true;
     return now - this->confirmed <= this->bound - kMargin;
   }
 
+  // The sending time of the newest confirmed read.
   Time confirmed_at() const { return this->confirmed; }
 
  private:
--- a/src/serving/gateway_entry.cc
+++ b/src/serving/gateway_entry.cc
@@ -1,4 +1,4 @@
-// To and from FlatBuffers; the schema is gullward.fbs.
+// Encoding and decoding with FlatBuffers; the schema is gullward.fbs.
 
 #include "serving/gateway_entry.h"
 
--- a/src/serving/gateway_entry.h
+++ b/src/serving/gateway_entry.h
@@ -1,4 +1,5 @@
-// How a gateway makes itself known to its peers, in a topic that all of them follow.
+// The record with which a gateway announces itself to its peers, in a topic that all gateways
+// follow.  The record's key is the gateway's box.
 //
 //   std::string value = EncodeGatewayEntry(peer);
 //   std::optional<Peer> peer = DecodeGatewayEntry("box-2", value);
@@ -16,7 +17,7 @@
 
 std::string EncodeGatewayEntry(const Peer& peer);
 
-// Nothing if the bytes are no entry, or its address is none.
+// Empty if `value` is not a valid entry or its address is invalid.
 std::optional<Peer> DecodeGatewayEntry(const std::string& box, std::string_view value);
 
 }  // namespace gullward
--- a/src/serving/load_digest.cc
+++ b/src/serving/load_digest.cc
@@ -1,4 +1,4 @@
-// To and from FlatBuffers; the schema is gullward.fbs.
+// Encoding and decoding with FlatBuffers; the schema is gullward.fbs.
 
 #include "serving/load_digest.h"
 
@@ -11,31 +11,34 @@
 namespace gullward {
 namespace {
 
-// Longer than any setting allows; a greater number is a fault and must not overflow.
-constexpr uint64_t kMostQuarantineMs = 7ull * 86400 * 1000;
+// Exceeds every quarantine that the settings allow.  A larger value is invalid, and clamping it
+// prevents an overflow.
+constexpr uint64_t kMaxQuarantineMs = 7ull * 86400 * 1000;
 
-// A day; whatever is older says nothing any more.
-constexpr uint64_t kMostAgeUs = 86'400'000'000;
+// One day.  A larger age is reduced to this: such an old limit is no longer relevant.
+constexpr uint64_t kMaxAgeUs = 86'400'000'000;
 
-bool IsAmount(double value) { return std::isfinite(value) && value >= 0; }
+bool IsFiniteNonNegative(double value) { return std::isfinite(value) && value >= 0; }
 
-// Whether all figures are ones that a load can have.  One that is not a number would make
-// every price that it enters compare false with all others.
-bool IsSane(const fb::EngineLoadEntry& entry) {
-  bool counts = entry.requests() >= 0 && entry.writers() >= 0;
-  bool amounts =
-      IsAmount(entry.context_tokens()) && IsAmount(entry.reading_ms()) && IsAmount(entry.read_ms());
-  if (!counts || !amounts) return false;
+// Whether all values are in range.  A NaN would make every cost that is computed from it compare
+// false with all others.
+bool IsValidLoad(const fb::EngineLoadEntry& entry) {
+  bool are_counts_valid = entry.requests() >= 0 && entry.writers() >= 0;
+  bool are_amounts_valid = IsFiniteNonNegative(entry.context_tokens()) &&
+                           IsFiniteNonNegative(entry.reading_ms()) &&
+                           IsFiniteNonNegative(entry.read_ms());
+  if (!are_counts_valid || !are_amounts_valid) return false;
   if (entry.streams() == nullptr) return true;
   return std::all_of(
-      entry.streams()->begin(), entry.streams()->end(), [](const fb::PauseClassEntry* one) {
-        return IsAmount(one->pause_ms()) && one->streams() > 0 && IsAmount(one->context_tokens());
+      entry.streams()->begin(), entry.streams()->end(), [](const fb::PauseClassEntry* pause_class) {
+        return IsFiniteNonNegative(pause_class->pause_ms()) && pause_class->streams() > 0 &&
+               IsFiniteNonNegative(pause_class->context_tokens());
       });
 }
 
-// Nearly all digests carry no news; these need no bytes for it.
+// Leaves an empty vector out: most digests carry no gossip.
 template <typename Struct>
-flatbuffers::Offset<flatbuffers::Vector<const Struct*>> VectorOrNone(
+flatbuffers::Offset<flatbuffers::Vector<const Struct*>> VectorOrNull(
     flatbuffers::FlatBufferBuilder* builder, const std::vector<Struct>& entries) {
   if (entries.empty()) return 0;
   return builder->CreateVectorOfStructs(entries);
@@ -49,31 +52,31 @@
   return value ? flatbuffers::Optional<double>(*value) : flatbuffers::nullopt;
 }
 
-using PackedNotices =
+using NoticeOffset =
     flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<fb::EngineNoticeEntry>>>;
 
-PackedNotices PackNotices(flatbuffers::FlatBufferBuilder* builder,
-                          const std::map<std::string, NoticeWord>& notices) {
+NoticeOffset PackNotices(flatbuffers::FlatBufferBuilder* builder,
+                         const std::map<std::string, NoticeWord>& notices) {
   if (notices.empty()) return 0;
   std::vector<flatbuffers::Offset<fb::EngineNoticeEntry>> entries;
-  for (const auto& [engine, word] : notices) {
+  for (const auto& [engine, report] : notices) {
     flatbuffers::Offset<fb::EngineLimit> limit;
-    if (word.limit) {
-      limit = fb::CreateEngineLimit(*builder, ToPacked(word.limit->per_s),
-                                    static_cast<uint64_t>(word.limit->age.count()));
+    if (report.limit) {
+      limit = fb::CreateEngineLimit(*builder, ToPacked(report.limit->per_s),
+                                    static_cast<uint64_t>(report.limit->age.count()));
     }
-    entries.push_back(
-        fb::CreateEngineNoticeEntry(*builder, builder->CreateString(engine), limit, word.leaving));
+    entries.push_back(fb::CreateEngineNoticeEntry(*builder, builder->CreateString(engine), limit,
+                                                  report.leaving));
   }
   return builder->CreateVector(entries);
 }
 
-// Nothing where it holds a limit that no engine can have named.
+// Empty if the limit's rate is negative or not finite.
 std::optional<LimitWord> ReadLimit(const fb::EngineLimit& packed) {
   LimitWord limit;
-  limit.age = Duration(static_cast<int64_t>(std::min(packed.age_us(), kMostAgeUs)));
+  limit.age = Duration(static_cast<int64_t>(std::min(packed.age_us(), kMaxAgeUs)));
   if (packed.per_s()) limit.per_s = *packed.per_s();
-  if (limit.per_s && !IsAmount(*limit.per_s)) return std::nullopt;
+  if (limit.per_s && !IsFiniteNonNegative(*limit.per_s)) return std::nullopt;
   return limit;
 }
 
@@ -82,31 +85,31 @@
   if (packed.notices() == nullptr) return notices;
   for (const fb::EngineNoticeEntry* entry : *packed.notices()) {
     if (entry->engine() == nullptr) continue;
-    NoticeWord word;
-    if (entry->limit() != nullptr) word.limit = ReadLimit(*entry->limit());
-    word.leaving = entry->leaving();
-    if (word != NoticeWord{}) notices[entry->engine()->str()] = word;
+    NoticeWord report;
+    if (entry->limit() != nullptr) report.limit = ReadLimit(*entry->limit());
+    report.leaving = entry->leaving();
+    if (report != NoticeWord{}) notices[entry->engine()->str()] = report;
   }
   return notices;
 }
 
-CrashGossip ReadNews(const fb::LoadDigest& packed) {
-  CrashGossip news;
+CrashGossip ReadCrashGossip(const fb::LoadDigest& packed) {
+  CrashGossip gossip;
   if (packed.crashes() != nullptr) {
     for (const fb::CrashEntry* entry : *packed.crashes()) {
-      news.crashes.push_back({entry->content(), entry->engine()});
+      gossip.crashes.push_back({entry->content(), entry->engine()});
     }
   }
   if (packed.answered() != nullptr) {
-    news.answered.assign(packed.answered()->begin(), packed.answered()->end());
+    gossip.answered.assign(packed.answered()->begin(), packed.answered()->end());
   }
   if (packed.quarantined() != nullptr) {
     for (const fb::QuarantineNews* entry : *packed.quarantined()) {
-      uint64_t left_ms = std::min(entry->left_ms(), kMostQuarantineMs);
-      news.quarantined.push_back({entry->content(), milliseconds(left_ms)});
+      uint64_t left_ms = std::min(entry->left_ms(), kMaxQuarantineMs);
+      gossip.quarantined.push_back({entry->content(), milliseconds(left_ms)});
     }
   }
-  return news;
+  return gossip;
 }
 
 }  // namespace
@@ -116,9 +119,9 @@
   std::vector<flatbuffers::Offset<fb::EngineLoadEntry>> entries;
   for (const auto& [engine, load] : digest.loads) {
     std::vector<fb::PauseClassEntry> streams;
-    for (const PauseClass& one : load.streams) {
-      streams.emplace_back(static_cast<float>(one.pause_ms), one.streams,
-                           static_cast<float>(one.context_tokens));
+    for (const PauseClass& pause_class : load.streams) {
+      streams.emplace_back(static_cast<float>(pause_class.pause_ms), pause_class.streams,
+                           static_cast<float>(pause_class.context_tokens));
     }
     entries.push_back(fb::CreateEngineLoadEntry(
         builder, builder.CreateString(engine), load.requests, load.writers,
@@ -136,20 +139,20 @@
   for (const std::string& engine : digest.set_aside) {
     set_aside.push_back(builder.CreateString(engine));
   }
-  const CrashGossip& news = digest.crash_gossip;
+  const CrashGossip& gossip = digest.crash_gossip;
   std::vector<fb::CrashEntry> crashes;
-  for (const CrashReport& crash : news.crashes) crashes.emplace_back(crash.content, crash.engine);
+  for (const CrashReport& crash : gossip.crashes) crashes.emplace_back(crash.content, crash.engine);
   std::vector<fb::QuarantineNews> quarantined;
-  for (const QuarantineReport& word : news.quarantined) {
-    quarantined.emplace_back(word.content, ToMillis(word.left));
+  for (const QuarantineReport& report : gossip.quarantined) {
+    quarantined.emplace_back(report.content, ToMillis(report.left));
   }
   builder.Finish(fb::CreateLoadDigest(
       builder, builder.CreateString(digest.box), digest.incarnation, digest.sequence,
       builder.CreateVector(entries), freshness, builder.CreateVector(set_aside),
       digest.engines_copied.fingerprint, digest.engines_read_to, digest.is_offer,
-      VectorOrNone(&builder, crashes),
-      news.answered.empty() ? 0 : builder.CreateVector(news.answered),
-      VectorOrNone(&builder, quarantined), ToPacked(digest.store_epoch), digest.epoch_is_settled,
+      VectorOrNull(&builder, crashes),
+      gossip.answered.empty() ? 0 : builder.CreateVector(gossip.answered),
+      VectorOrNull(&builder, quarantined), ToPacked(digest.store_epoch), digest.epoch_is_settled,
       digest.engines_copied.revision, PackNotices(&builder, digest.notices)));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
@@ -169,17 +172,17 @@
   if (packed->store_epoch()) digest.store_epoch = *packed->store_epoch();
   digest.epoch_is_settled = packed->epoch_is_settled();
   digest.is_offer = packed->is_offer();
-  digest.crash_gossip = ReadNews(*packed);
+  digest.crash_gossip = ReadCrashGossip(*packed);
   digest.notices = ReadNotices(*packed);
   if (const fb::FreshnessNote* note = packed->freshness()) {
-    FreshnessNote told;
-    told.round = note->round();
-    told.config_version = note->config_version();
-    told.proved_ago = Duration(note->proved_ago_us());
-    told.echoed_round = note->echoed_round();
-    told.echo_held = Duration(note->echo_held_us());
-    told.echoed_incarnation = note->echoed_incarnation();
-    digest.freshness = told;
+    FreshnessNote received;
+    received.round = note->round();
+    received.config_version = note->config_version();
+    received.proved_ago = Duration(note->proved_ago_us());
+    received.echoed_round = note->echoed_round();
+    received.echo_held = Duration(note->echo_held_us());
+    received.echoed_incarnation = note->echoed_incarnation();
+    digest.freshness = received;
   }
   if (packed->set_aside() != nullptr) {
     for (const flatbuffers::String* engine : *packed->set_aside()) {
@@ -187,7 +190,7 @@
     }
   }
   for (const fb::EngineLoadEntry* entry : *packed->engines()) {
-    if (entry->engine() == nullptr || !IsSane(*entry)) return std::nullopt;
+    if (entry->engine() == nullptr || !IsValidLoad(*entry)) return std::nullopt;
     EngineLoad load;
     load.requests = entry->requests();
     load.writers = entry->writers();
@@ -195,8 +198,9 @@
     load.reading_ms = entry->reading_ms();
     load.read_ms = entry->read_ms();
     if (entry->streams() != nullptr) {
-      for (const fb::PauseClassEntry* one : *entry->streams()) {
-        load.streams.push_back({one->pause_ms(), one->streams(), one->context_tokens()});
+      for (const fb::PauseClassEntry* pause_class : *entry->streams()) {
+        load.streams.push_back(
+            {pause_class->pause_ms(), pause_class->streams(), pause_class->context_tokens()});
       }
     }
     digest.loads[entry->engine()->str()] = load;
--- a/src/serving/load_digest.h
+++ b/src/serving/load_digest.h
@@ -1,4 +1,4 @@
-// The datagram by which gateways tell each other of their work on engines.
+// The datagram in which a gateway sends other gateways its work on engines.
 //
 //   std::string datagram = EncodeDigest(digest);
 //   std::optional<LoadDigest> digest = DecodeDigest(datagram);
@@ -22,30 +22,35 @@
 namespace gullward {
 
 struct LoadDigest {
-  // The sender, and which of its lives.
+  // The sender and its incarnation.
   std::string box;
   uint64_t incarnation = 0;
-  // Rises with each datagram of one life.
+  // Increases with each datagram of one incarnation, so that a receiver can ignore datagrams
+  // that arrive late or twice.
   uint64_t sequence = 0;
+  // The load on each engine, by engine incarnation.
   std::map<std::string, EngineLoad> loads;
-  // Only in a datagram to one peer.
+  // Whether the sender's configuration is current (serving/peer_freshness.h).  The note differs
+  // for each receiver, so it is set only in a datagram that goes to a single peer.
   std::optional<FreshnessNote> freshness;
-  // Engines that the sender has set aside; serving/peer_suspicion.h.
+  // Incarnations of engines that the sender has set aside (serving/peer_suspicion.h).
   std::set<std::string> set_aside;
-  // What the copy of the engines' list holds; gateway/engine_list_copy.h.
+  // The latest version of the copy of the engine list that the sender has recorded
+  // (gateway/engine_list_copy.h).
   CopyVersion engines_copied;
-  // The offset after the last change of the engines' list that the sender has read.
+  // The offset after the last change of the engine list that the sender has read.
   uint64_t engines_read_to = 0;
-  // The store's epoch to which that offset belongs, nothing where the store tells none, and
-  // whether the sender has seen it for long enough (serving/store_epoch.h).
+  // The store's epoch to which `engines_read_to` belongs, and whether it is settled
+  // (serving/store_epoch.h).  Empty if the store reports no epoch.
   std::optional<uint64_t> store_epoch;
   bool epoch_is_settled = false;
-  // Whether `loads` are engines on offer, with all work that the sender knows there
-  // (serving/spill.h), instead of its own work.
+  // If true, `loads` holds the engines that the sender offers to gateways of other cells, with
+  // the load of all gateways on them (serving/spill.h).  If false, `loads` holds only the
+  // sender's own load.
   bool is_offer = false;
-  // What engines have said of themselves (serving/engine_notices.h).
+  // Notices that engines have sent, by engine incarnation (serving/engine_notices.h).
   std::map<std::string, NoticeWord> notices;
-  // News that its receivers pass on (serving/crash_news.h).
+  // Crash reports that the receiver passes on (serving/crash_gossip.h).
   CrashGossip crash_gossip;
 
   bool operator==(const LoadDigest&) const = default;
@@ -53,7 +58,7 @@
 
 std::string EncodeDigest(const LoadDigest& digest);
 
-// Nothing if the bytes are no digest.
+// Empty if `datagram` is not a valid digest or holds a load that is out of range.
 std::optional<LoadDigest> DecodeDigest(std::string_view datagram);
 
 }  // namespace gullward
--- a/src/serving/peer_directory.cc
+++ b/src/serving/peer_directory.cc
@@ -1,4 +1,4 @@
-// peer_directory.h tells the method.
+// peer_directory.h describes the method.
 
 #include "serving/peer_directory.h"
 
@@ -44,10 +44,10 @@
   const std::vector<const Peer*>& all = this->MembersOf(service, cells, cell, revision);
   if (all.size() <= kMaxPeersPerRound) return all;
   this->deferred_count += all.size() - kMaxPeersPerRound;
-  std::vector<const Peer*> turn;
+  std::vector<const Peer*> selected;
   size_t first = this->round * kMaxPeersPerRound;
-  for (size_t i = 0; i < kMaxPeersPerRound; ++i) turn.push_back(all[(first + i) % all.size()]);
-  return turn;
+  for (size_t i = 0; i < kMaxPeersPerRound; ++i) selected.push_back(all[(first + i) % all.size()]);
+  return selected;
 }
 
 const Peer* PeerDirectory::Find(const std::string& box) const {
@@ -58,22 +58,22 @@
 std::vector<const Peer*> PeerDirectory::Sample(size_t count, std::mt19937_64* random) const {
   std::vector<const Peer*> all;
   for (const auto& [box, peer] : this->peers) all.push_back(&peer);
-  std::vector<const Peer*> drawn;
-  std::sample(all.begin(), all.end(), std::back_inserter(drawn), count, *random);
-  return drawn;
+  std::vector<const Peer*> sampled;
+  std::sample(all.begin(), all.end(), std::back_inserter(sampled), count, *random);
+  return sampled;
 }
 
 std::vector<const Peer*> PeerDirectory::SampleOutside(const CellMap& cells, const Cell& cell,
                                                       size_t count, std::mt19937_64* random) const {
-  std::vector<const Peer*> drawn;
-  if (cells.is_whole() || this->peers.empty()) return drawn;
-  // A few draws by place; one that falls on a member of the cell is lost.
+  std::vector<const Peer*> sampled;
+  if (cells.is_whole() || this->peers.empty()) return sampled;
+  // Picks peers by index.  A pick that falls on a member of the cell is dropped without a retry.
   for (size_t i = 0; i < count; ++i) {
     auto at = static_cast<ptrdiff_t>((*random)() % this->peers.size());
     const Peer& peer = std::next(this->peers.begin(), at)->second;
-    if (cells.HomeOf(peer.box, peer.data_centre) != cell) drawn.push_back(&peer);
+    if (cells.HomeOf(peer.box, peer.data_centre) != cell) sampled.push_back(&peer);
   }
-  return drawn;
+  return sampled;
 }
 
 }  // namespace gullward
--- a/src/serving/peer_directory.h
+++ b/src/serving/peer_directory.h
@@ -1,14 +1,15 @@
-// The other gateways: where each hears us, and which of them work on the same engines.
+// The other gateways: their addresses, and which of them use the same engines.
 //
 //   PeerDirectory peers;
-//   peers.Update("box-2", {address, "hall-1"});
-//   for (const Peer* peer : peers.NextOf("models", cells, home, revision)) ...
-//   for (const Peer* peer : peers.DrawOutside(cells, home, 2, &random)) ...
+//   peers.Update({"box-2", address, "hall-1"});
+//   for (const Peer* peer : peers.MembersForRound("models", cells, home, revision)) ...
+//   for (const Peer* peer : peers.SampleOutside(cells, home, 2, &random)) ...
 //
-// A cell's members are found by the same arithmetic by which each of them finds its home
-// (cell_map.h).  A cell bounds its engines, not its gateways: where it has more than
-// kMostAtOnce members they are told in turns, so what one round sends is bounded and
-// nobody is left out; untold() says how many had to wait for a later round.
+// The members of a cell are the gateways whose home cell it is; cell_map.h computes the home cell
+// from a gateway's name and data centre.  The size of a cell bounds its engines but not its
+// gateways.  If a cell has more than kMaxPeersPerRound members, each round sends to a different
+// part of them in turn: the traffic of a round is bounded, and every member is reached.
+// deferred() counts the members that had to wait for a later round.
 
 #ifndef GULLWARD_SERVING_PEER_DIRECTORY_H_
 #define GULLWARD_SERVING_PEER_DIRECTORY_H_
@@ -25,6 +26,7 @@
 
 namespace gullward {
 
+// Another gateway.  Datagrams to it go to `address`.
 struct Peer {
   std::string box;
   SocketAddress address;
@@ -35,8 +37,8 @@
 
 class PeerDirectory {
  public:
-  // Members of one cell that are told in one round.  Three rounds of half a second come
-  // before what was told is forgotten, so a cell may have three times as many.
+  // Members of one cell that receive a datagram in one round.  A load that a peer has sent expires
+  // after three rounds of half a second, so a cell may have three times as many members.
   static constexpr size_t kMaxPeersPerRound = 48;
 
   void Update(const Peer& peer);
@@ -45,34 +47,35 @@
 
   std::vector<GatewayName> Names() const;
 
-  // The next members of large cells have their turn.
+  // Advances MembersForRound to the next members of large cells.
   void BeginRound() { this->round += 1; }
 
-  // Members of a service's cell.  As long as `revision`, that of the map, is the same, members
-  // are not worked out anew.
+  // All members of a cell of a service.  The result is cached while `revision`, the revision of
+  // the cell map, stays the same.
   const std::vector<const Peer*>& MembersOf(const std::string& service, const CellMap& cells,
                                             const Cell& cell, uint64_t revision);
 
-  // Of these, those whose turn it is where there are many.
+  // The members of a cell that receive a datagram in this round: all of them, or
+  // kMaxPeersPerRound in turn if there are more.
   std::vector<const Peer*> MembersForRound(const std::string& service, const CellMap& cells,
                                            const Cell& cell, uint64_t revision);
 
-  // The peer of that box; null where it is not known.
+  // The peer on this box; null if unknown.
   const Peer* Find(const std::string& box) const;
 
-  // `count` different peers, or all where there are no more, drawn by chance.
+  // `count` different random peers, or all peers if there are fewer.
   std::vector<const Peer*> Sample(size_t count, std::mt19937_64* random) const;
 
-  // Up to `count` peers that are not in a cell, drawn by chance.
+  // Up to `count` random peers whose home is not `cell`.  May return fewer, and a peer twice.
   std::vector<const Peer*> SampleOutside(const CellMap& cells, const Cell& cell, size_t count,
                                          std::mt19937_64* random) const;
 
-  // Members that were left for a later round, over all rounds.
+  // Members that had to wait for a later round, summed over all rounds.
   uint64_t deferred() const { return this->deferred_count; }
 
  private:
   std::map<std::string, Peer> peers;
-  // By service and cell.
+  // Cached members by service and cell; valid for members_revision.
   std::map<std::pair<std::string, Cell>, std::vector<const Peer*>> members;
   uint64_t members_revision = 0;
   size_t round = 0;
--- a/src/serving/peer_freshness.cc
+++ b/src/serving/peer_freshness.cc
@@ -1,4 +1,4 @@
-// peer_freshness.h gives the argument.
+// peer_freshness.h proves the method.
 
 #include "serving/peer_freshness.h"
 
@@ -12,16 +12,16 @@
   if (this->rounds.size() > kRoundsKept) this->rounds.pop_front();
 }
 
-FreshnessNote PeerFreshness::NoteFor(const std::string& peer, uint64_t own_version, Time own_proved,
-                                     Time now) const {
+FreshnessNote PeerFreshness::NoteFor(const std::string& peer, uint64_t own_version,
+                                     Time own_validated_at, Time now) const {
   FreshnessNote note;
   note.round = this->last_round;
   note.config_version = own_version;
-  note.proved_ago = now - own_proved;
-  auto found = this->heard.find(peer);
-  if (found == this->heard.end()) return note;
+  note.proved_ago = now - own_validated_at;
+  auto found = this->last_notes.find(peer);
+  if (found == this->last_notes.end()) return note;
   note.echoed_round = found->second.round;
-  note.echo_held = now - found->second.at;
+  note.echo_held = now - found->second.received_at;
   note.echoed_incarnation = found->second.incarnation;
   return note;
 }
@@ -29,17 +29,17 @@
 std::optional<Time> PeerFreshness::ReceiveNote(const std::string& peer, uint64_t peer_incarnation,
                                                const FreshnessNote& note, uint64_t own_version,
                                                Time now) {
-  LastNote& last = this->heard[peer];
+  LastNote& last = this->last_notes[peer];
   if (last.incarnation != peer_incarnation) last = LastNote{peer_incarnation, 0, now};
-  // The time of the first arrival: a later copy must not make it look younger.
+  // Keeps the time of the first arrival, so that a duplicate does not make the note look newer.
   if (note.round > last.round) last = LastNote{peer_incarnation, note.round, now};
   this->newest_version = std::max(this->newest_version, note.config_version);
   if (note.config_version > own_version || note.echoed_round == 0) return std::nullopt;
   if (note.echoed_incarnation != this->incarnation) return std::nullopt;
-  auto sent = std::find_if(this->rounds.begin(), this->rounds.end(),
-                           [&](const Round& round) { return round.number == note.echoed_round; });
-  if (sent == this->rounds.end()) return std::nullopt;
-  return sent->sent + note.echo_held - note.proved_ago;
+  auto round = std::find_if(this->rounds.begin(), this->rounds.end(),
+                            [&](const Round& other) { return other.number == note.echoed_round; });
+  if (round == this->rounds.end()) return std::nullopt;
+  return round->sent_at + note.echo_held - note.proved_ago;
 }
 
 }  // namespace gullward
--- a/src/serving/peer_freshness.h
+++ b/src/serving/peer_freshness.h
@@ -1,22 +1,25 @@
-// What a peer can vouch for: that our configuration was current at some moment.
+// Proves from peers' notes that this process's configuration was current at some moment.
 //
-// A process that is cut off from the store need not stop accepting keys while a
-// peer still reads the store and holds the same version.  The peer's word must be
-// placed on our own clock without trusting anybody's clock or the network's speed:
-// a datagram may have lain in a buffer for seconds.  So every note echoes the last
-// note that its sender had from us, and for how long it has held it:
+// A process that is cut off from the store may go on accepting keys while a peer still reads the
+// store and holds the same configuration version.  The moment at which the peer validated its
+// configuration must be placed on the local clock, without relying on the peer's clock or on the
+// speed of the network: a datagram may have waited in a buffer for seconds.  Each note therefore
+// echoes the last note that its sender received from the receiver, and states how long the
+// sender has held it:
 //
-//   we send our note number k at t;  the peer gets it, and h later it writes:
-//   "version 7, proved current a ms ago; your note k came h ms ago".
+//   This process sends its note number k at time t.  The peer receives it, and at a time h later
+//   it writes: "version 7, validated a ago; your note k arrived h ago".
 //
-// The peer wrote that no earlier than t + h, so what it proves was true at
-// t + h - a on our clock, however long either datagram took.
+// The peer wrote its note no earlier than t + h.  At t + h - a on the local clock there was thus
+// no newer version than 7, however long either datagram took.
 //
 //   PeerFreshness peers(incarnation);
-//   FreshnessNote note = peers.NoteFor("box-2", own, now);
-//   std::optional<Time> proved = peers.Hear("box-2", note, own_version);
+//   peers.BeginRound(now);
+//   FreshnessNote note = peers.NoteFor("box-2", own_version, own_validated_at, now);
+//   std::optional<Time> validated_at =
+//       peers.ReceiveNote("box-2", peer_incarnation, note, own_version, now);
 //
-// Only the last few rounds are remembered; an echo of an older one proves nothing.
+// The times of the last kRoundsKept rounds are kept.  An echo of an older round proves nothing.
 
 #ifndef GULLWARD_SERVING_PEER_FRESHNESS_H_
 #define GULLWARD_SERVING_PEER_FRESHNESS_H_
@@ -31,17 +34,18 @@
 
 namespace gullward {
 
-// What a process says of its configuration to one peer.
+// What a process reports about its configuration to one peer.
 struct FreshnessNote {
-  // The sender's round, which rises.
+  // The sender's round.  Rounds are numbered from 1.
   uint64_t round = 0;
   uint64_t config_version = 0;
-  // How long ago the sender's reading proved that version current.
+  // How long ago the sender validated that `config_version` is the newest version.
   Duration proved_ago{};
-  // The last round heard from the receiver, 0 for none, and how long ago it came.
+  // The last round that the sender received from the receiver, 0 if none, and how long ago its
+  // note arrived.
   uint64_t echoed_round = 0;
   Duration echo_held{};
-  // The receiver's life whose round is echoed: after a restart rounds begin anew.
+  // The receiver's incarnation whose round is echoed, since a restart resets the rounds.
   uint64_t echoed_incarnation = 0;
 
   bool operator==(const FreshnessNote&) const = default;
@@ -49,41 +53,41 @@
 
 class PeerFreshness {
  public:
-  // Rounds whose sending time is remembered.
+  // Rounds whose time is kept.
   static constexpr size_t kRoundsKept = 8;
 
   explicit PeerFreshness(uint64_t own_incarnation) : incarnation(own_incarnation) {}
 
-  // Begins a round of notes, one to each peer.
+  // Starts a round, in which each peer is sent a note.
   void BeginRound(Time now);
 
-  // The note of this round for one peer.
-  FreshnessNote NoteFor(const std::string& peer, uint64_t own_version, Time own_proved,
+  // Returns this round's note for one peer.
+  FreshnessNote NoteFor(const std::string& peer, uint64_t own_version, Time own_validated_at,
                         Time now) const;
 
-  // Takes a peer's note.  Returns when, on our clock, our version was certainly
-  // current; nothing where the note proves nothing of it.
+  // Records a peer's note.  Returns a time on the local clock at which `own_version` was certainly
+  // current; empty if the note does not prove one.
   std::optional<Time> ReceiveNote(const std::string& peer, uint64_t peer_incarnation,
                                   const FreshnessNote& note, uint64_t own_version, Time now);
 
-  // The highest version that any peer has told.
+  // The highest configuration version that any peer has sent.
   uint64_t newest_peer_version() const { return this->newest_version; }
 
  private:
   struct Round {
     uint64_t number = 0;
-    Time sent;
+    Time sent_at;
   };
   struct LastNote {
     uint64_t incarnation = 0;
     uint64_t round = 0;
-    Time at;
+    Time received_at;
   };
 
   uint64_t incarnation;
   uint64_t last_round = 0;
   std::deque<Round> rounds;
-  std::map<std::string, LastNote> heard;
+  std::map<std::string, LastNote> last_notes;
   uint64_t newest_version = 0;
 };
 
--- a/src/serving/peer_suspicion.cc
+++ b/src/serving/peer_suspicion.cc
@@ -1,4 +1,4 @@
-// peer_suspicion.h tells the method.
+// peer_suspicion.h describes the method.
 
 #include "serving/peer_suspicion.h"
 
@@ -7,8 +7,8 @@
 namespace gullward {
 namespace {
 
-// Removes the entries of a map of times that lie `age` or more back.
-void ForgetOlder(std::map<std::string, Time>* times, Duration age, Time now) {
+// Removes the entries whose time is `age` or more ago.
+void RemoveOlder(std::map<std::string, Time>* times, Duration age, Time now) {
   for (auto it = times->begin(); it != times->end();) {
     it = now - it->second >= age ? times->erase(it) : std::next(it);
   }
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// Another place in the order for each engine, so that no box is always the first.
+// The order differs between engines, so that the same box is not always the first to return.
 Duration PeerSuspicion::ReturnDelay(const std::string& engine) const {
   uint64_t hash = XXH64(this->box.data(), this->box.size(), XXH64(engine.data(), engine.size(), 0));
   return Duration(static_cast<int64_t>(hash % static_cast<uint64_t>(kReturnSpread.count())));
@@ -24,14 +24,14 @@
 
 void PeerSuspicion::ReceiveSetAside(const std::string& peer, const std::set<std::string>& engines,
                                     size_t engines_listed, Time now) {
-  for (auto& [engine, peers] : this->words) {
+  for (auto& [engine, peers] : this->reports) {
     if (engines.count(engine) == 0) peers.erase(peer);
   }
   if (SetsAsideTooMany(engines.size(), engines_listed)) return;
   for (const std::string& engine : engines) {
-    std::map<std::string, Time>& peers = this->words[engine];
+    std::map<std::string, Time>& peers = this->reports[engine];
     peers[peer] = now;
-    ForgetOlder(&peers, kReportLifetime, now);
+    RemoveOlder(&peers, kReportLifetime, now);
     if (peers.size() < kMinReports) continue;
     this->suspected_until[engine] = now + kReportLifetime + this->ReturnDelay(engine);
   }
@@ -43,10 +43,10 @@
 }
 
 void PeerSuspicion::Tick(Time now) {
-  ForgetOlder(&this->suspected_until, Duration(0), now);
-  for (auto it = this->words.begin(); it != this->words.end();) {
-    ForgetOlder(&it->second, kReportLifetime, now);
-    it = it->second.empty() ? this->words.erase(it) : std::next(it);
+  RemoveOlder(&this->suspected_until, Duration(0), now);
+  for (auto it = this->reports.begin(); it != this->reports.end();) {
+    RemoveOlder(&it->second, kReportLifetime, now);
+    it = it->second.empty() ? this->reports.erase(it) : std::next(it);
   }
 }
 
--- a/src/serving/quarantine.cc
+++ b/src/serving/quarantine.cc
@@ -1,5 +1,5 @@
-// quarantine.h tells the method.  Few contents are ever under suspicion at a time, so rivals
-// are found by looking at all of them.
+// quarantine.h describes the rules.  Few contents are suspected at a time, so the contents that
+// shared an engine with another one are found by scanning all records.
 
 #include "serving/quarantine.h"
 
@@ -22,11 +22,11 @@
   if (record.cleared_at && now - *record.cleared_at < kClearedFor) return false;
   auto is_same = [&](const Crash& crash) { return crash.engine == report.engine; };
   if (std::any_of(record.crashes.begin(), record.crashes.end(), is_same)) return false;
-  // From now on the content is remembered as a suspect, no longer as one that was answered.
+  // The record becomes that of a suspect again and is kept for kSuspicionLifetime.
   record.cleared_at.reset();
   if (record.crashes.size() == kMaxEnginesKept) record.crashes.erase(record.crashes.begin());
-  bool sent_on = sent && !record.crashes.empty() && *sent > record.crashes.front().received_at;
-  record.was_resent = record.was_resent || sent_on;
+  bool is_resend = sent && !record.crashes.empty() && *sent > record.crashes.front().received_at;
+  record.was_resent = record.was_resent || is_resend;
   record.crashes.push_back({report.engine, now});
   record.last_report_at = now;
   if (record.quarantined_until) {
@@ -41,9 +41,9 @@
   auto found = this->records.find(content);
   if (found == this->records.end()) return false;
   Record& record = found->second;
-  bool was_held = !record.crashes.empty() || record.quarantined_until;
+  bool had_evidence = !record.crashes.empty() || record.quarantined_until;
   bool was_quarantined = record.quarantined_until.has_value();
-  bool was_rival = record.crashes.size() >= kMinCrashes;
+  bool shared_crashes = record.crashes.size() >= kMinCrashes;
   record = Record{};
   record.cleared_at = now;
   record.last_report_at = now;
@@ -52,15 +52,15 @@
     this->quarantined_count -= 1;
     this->RecomputeExplained();
   }
-  if (was_rival) this->QueueDecisions();
-  return was_held;
+  if (shared_crashes) this->QueueDecisions();
+  return had_evidence;
 }
 
-// Those whose engines pointed at another as well are to be judged anew.
+// Queues all contents that need a decision: a cleared content no longer shares their crashes.
 void Quarantine::QueueDecisions() {
   for (const auto& [other, other_record] : this->records) {
-    bool is_open = !other_record.quarantined_until;
-    if (is_open && this->NeedsDecision(other_record)) this->undecided.insert(other);
+    bool is_unquarantined = !other_record.quarantined_until;
+    if (is_unquarantined && this->NeedsDecision(other_record)) this->undecided.insert(other);
   }
 }
 
@@ -83,17 +83,17 @@
   return enough && !IsBurst(record);
 }
 
-// How many of the engines point at this content: it has lost more engines than anything else
-// that was there.
+// Counts the crashes that are attributed to this content: on their engines it has more
+// unexplained crashes than any other content that was running there.
 size_t Quarantine::AttributedCrashes(ContentId content, const std::vector<Crash>& crashes) const {
-  std::unordered_set<EngineKey> shared_blame;
+  std::unordered_set<EngineKey> shared_engines;
   for (const auto& [other, record] : this->records) {
     if (other == content || record.quarantined_until) continue;
     if (this->UnexplainedCrashes(record).size() < crashes.size()) continue;
-    for (const Crash& crash : record.crashes) shared_blame.insert(crash.engine);
+    for (const Crash& crash : record.crashes) shared_engines.insert(crash.engine);
   }
-  auto points = [&](const Crash& crash) { return shared_blame.count(crash.engine) == 0; };
-  return static_cast<size_t>(std::count_if(crashes.begin(), crashes.end(), points));
+  auto is_attributed = [&](const Crash& crash) { return shared_engines.count(crash.engine) == 0; };
+  return static_cast<size_t>(std::count_if(crashes.begin(), crashes.end(), is_attributed));
 }
 
 bool Quarantine::IsCause(ContentId content, const Record& record) const {
@@ -102,7 +102,7 @@
   return this->AttributedCrashes(content, this->UnexplainedCrashes(record)) >= kMinCrashes;
 }
 
-// Those with most engines come first: they may explain the engines of the others.
+// Contents with most crashes are decided first: they may explain the crashes of the others.
 std::vector<ContentId> Quarantine::Evaluate(Time now) {
   std::vector<std::pair<size_t, ContentId>> due;
   for (ContentId content : this->undecided) {
@@ -111,15 +111,15 @@
     due.emplace_back(this->UnexplainedCrashes(record).size(), content);
   }
   std::sort(due.rbegin(), due.rend());
-  std::vector<ContentId> guilty;
+  std::vector<ContentId> quarantined;
   for (const auto& [engines, content] : due) {
     this->undecided.erase(content);
     Record& record = this->records[content];
     if (!this->IsCause(content, record)) continue;
-    this->StartQuarantine(&record, this->lasts, now);
-    guilty.push_back(content);
+    this->StartQuarantine(&record, this->duration, now);
+    quarantined.push_back(content);
   }
-  return guilty;
+  return quarantined;
 }
 
 bool Quarantine::AdoptFromPeer(ContentId content, Duration left, Time now) {
@@ -134,16 +134,16 @@
   record.cleared_at.reset();
   record.last_report_at = now;
   this->undecided.erase(content);
-  this->StartQuarantine(&record, std::min(left, this->lasts), now);
+  this->StartQuarantine(&record, std::min(left, this->duration), now);
   return true;
 }
 
-void Quarantine::StartQuarantine(Record* record, Duration how_long, Time now) {
+void Quarantine::StartQuarantine(Record* record, Duration left, Time now) {
   if (!record->quarantined_until) {
     this->EvictQuarantined();
     this->quarantined_count += 1;
   }
-  record->quarantined_until = now + how_long;
+  record->quarantined_until = now + left;
   this->MarkExplained(*record);
 }
 
@@ -192,19 +192,19 @@
 }
 
 void Quarantine::Tick(Time now) {
-  bool any_ended = false;
+  bool any_quarantine_ended = false;
   for (auto it = this->records.begin(); it != this->records.end();) {
     auto next = std::next(it);
     const Record& record = it->second;
     bool was_quarantined = record.quarantined_until.has_value();
-    Duration kept_for = record.cleared_at ? kClearedFor : kSuspicionLifetime;
-    bool is_over = was_quarantined ? *record.quarantined_until <= now
-                                   : now - record.last_report_at >= kept_for;
-    if (is_over) this->Erase(it);
-    any_ended = any_ended || (is_over && was_quarantined);
+    Duration lifetime = record.cleared_at ? kClearedFor : kSuspicionLifetime;
+    bool is_expired = was_quarantined ? *record.quarantined_until <= now
+                                      : now - record.last_report_at >= lifetime;
+    if (is_expired) this->Erase(it);
+    any_quarantine_ended = any_quarantine_ended || (is_expired && was_quarantined);
     it = next;
   }
-  if (any_ended) this->RecomputeExplained();
+  if (any_quarantine_ended) this->RecomputeExplained();
 }
 
 std::vector<ContentId> Quarantine::Quarantined(Time now) const {
@@ -215,8 +215,8 @@
   return all;
 }
 
-// Where there are too many suspects, half of them go: those with fewest engines, and among
-// them the oldest.
+// When the bound is reached, evicts half of the suspects: those with the fewest crashes first,
+// and among equals those whose last report is oldest.
 void Quarantine::EvictSuspects() {
   if (this->suspects() < kMaxSuspects) return;
   std::vector<std::pair<std::pair<size_t, Time>, ContentId>> order;
--- a/src/serving/quarantine.h
+++ b/src/serving/quarantine.h
@@ -1,36 +1,41 @@
-// Tells the requests that end the engines that run them, and keeps them from more.
+// Finds requests that crash the engines that run them, and keeps these requests away from
+// further engines.
 //
-// An engine ends now and then: with its rack, with a release, by a fault of its own.  All that
-// ran there is lost with it and is sent elsewhere, and most of it is served there.  But a few
-// requests are the cause: an engine that begins to work on one is gone a moment later, and the
-// caller sends it again.  Nothing in such a request shows it.  What shows it is that engine
-// after engine ends under one content, and that no engine ever answers it.
+// An engine crashes now and then: because its rack fails, because of a release, or through a
+// fault of its own.  All requests that ran on it are lost and sent to other engines, and most
+// of them are served there.  But a few requests are the cause of the crash: an engine that
+// starts to work on such a request crashes a moment later, and the caller sends the request
+// again.  Nothing in the request itself shows this.  It shows only in that one engine after
+// another crashes while running the same content, and that no engine ever answers it.
 //
-// So each gateway keeps, for each content under which an engine has ended lately, which engines
-// those were (told by all gateways to each other), and judges:
+// Each gateway therefore records, for each content that was running on an engine that crashed
+// lately, which engines those were.  Gateways exchange these records.  The rules are:
 //
-//   - A whole answer clears the content: whatever ends every engine never has one.
-//   - An engine that ended under a content already in quarantine has its explanation, and
-//     counts against nobody else that ran there.
-//   - Engines that ended within kOneMoment count as one: a rack takes many at once.  Unless
-//     one of them got the request after another was known to have ended under it.
-//   - A content with kCrashesNeeded unexplained engines is refused for kSettle, in which the
-//     words of the other gateways come in.  Then it is put into quarantine if so many of them
-//     point at it: it has lost more engines than anything else that was there.  Else it is sent
-//     on, since the next engine will tell; the placement sends such contents to different
-//     engines (Demand::scatter_by).
-//   - With kMostCrashes engines it is put into quarantine in spite of company and explanations.
+//   - A complete answer clears the content: a content that crashes every engine never gets one.
+//   - A crash of an engine that was running a content already in quarantine is explained by
+//     that content.  It does not count against other contents on the same engine.
+//   - Engines that crashed within kBurstWindow count as one, because a rack failure takes down
+//     many engines at once.  They count separately if one of them received the request after
+//     another was known to have crashed under it.
+//   - A content with kMinCrashes unexplained crashes is refused for kDecisionDelay, while the
+//     reports of other gateways arrive.  It is then put into quarantine if at least kMinCrashes
+//     of these crashes are attributed to it: it has lost more engines than any other content
+//     that was running on the crashed engine.  Otherwise the content may be sent again, because
+//     the next crash will tell the contents apart; the placement sends such contents to
+//     different engines (Demand::scatter_hash).
+//   - A content with kMaxCrashes crashes is put into quarantine even if other contents shared
+//     the engines or explain the crashes.
 //
-// A quarantine ends by itself after the time that the settings say, since engines get new
-// software; by an answer that had been under way, at once.
+// A quarantine ends after the time in the settings, since engines get new software.  It ends at
+// once if an attempt that was already running returns a complete answer.
 //
 //   Quarantine quarantine(std::chrono::hours(1));
-//   quarantine.NoteCrash({content, EngineKey(incarnation)}, now);
-//   for (ContentId content : quarantine.Judge(now)) ...      // those put into it
+//   quarantine.NoteCrash({content, EngineKeyOf(incarnation)}, now);
+//   for (ContentId content : quarantine.Evaluate(now)) ...      // newly quarantined
 //   if (std::optional<Duration> wait = quarantine.RefusedFor(content, now)) ...
 //
-// Memory is bounded: kMostSuspects contents, of which those under which one engine has ended
-// are forgotten first, and kMostQuarantined.  forgotten() counts what went too early.
+// Memory is bounded to kMaxSuspects suspected contents, of which the ones with the fewest crashes
+// are evicted first, and kMaxQuarantined contents in quarantine.  forgotten() counts evictions.
 
 #ifndef GULLWARD_SERVING_QUARANTINE_H_
 #define GULLWARD_SERVING_QUARANTINE_H_
@@ -48,11 +53,11 @@
 
 namespace gullward {
 
-// Names one life of an engine in few bytes; a hash of EngineRecord::Incarnation.
+// Identifies one incarnation of an engine: a hash of EngineRecord::Incarnation().
 using EngineKey = uint64_t;
 EngineKey EngineKeyOf(std::string_view incarnation);
 
-// An engine that ended while it had a request of that content.
+// An engine crashed while it was running a request with this content.
 struct CrashReport {
   ContentId content = 0;
   EngineKey engine = 0;
@@ -62,79 +67,86 @@
 
 class Quarantine {
  public:
-  // Engines lost under one content before it is kept from others.  Two may be chance: what is
-  // on an engine that ends is sent to another, and that one may end as well.
+  // Crashes before a content is refused.  Two may be a coincidence: a request from an engine that
+  // crashed is sent to another engine, and that engine may crash for another reason.
   static constexpr size_t kMinCrashes = 3;
-  // Where neither chance nor company counts as the reason any more: each further engine costs
-  // everybody who is on it an answer.  The users allow three engines more after the third; two
-  // gateways may each send a content on before they hear of one another's.
+  // Crashes after which a content is quarantined whatever else may explain them, since each
+  // further crash costs the answers of all requests on that engine.  The users accept three
+  // more lost engines after the third.  The limit is one lower than that, because two gateways
+  // may each send the content once more before they receive each other's crash report.
   static constexpr size_t kMaxCrashes = 5;
-  // From an engine's end until its news has come from all gateways: four hops of 25 ms each
-  // reach 300 of them; the rest is room for a slow loop.
+  // Time from a crash until the reports of all gateways have arrived: four hops of 25 ms reach
+  // 300 gateways, and the rest is a margin for a slow event loop.
   static constexpr Duration kDecisionDelay = milliseconds(300);
-  // Engines that are lost in this time may be lost together: a rack's end within a few
-  // milliseconds, and the news of it is spread over the hops above.
+  // Crashes within this time may have one common cause: the engines of a rack crash within a
+  // few milliseconds, and the reports spread over the hops above.
   static constexpr Duration kBurstWindow = milliseconds(150);
-  // After a whole answer, news that was still on its way counts for nothing.
+  // Crash reports that arrive within this time after a complete answer are ignored: they were
+  // already under way.
   static constexpr Duration kClearedFor = seconds(2);
-  // Without another end, what is held against a content is forgotten.
+  // A suspected content is forgotten after this time without another crash.
   static constexpr Duration kSuspicionLifetime = std::chrono::minutes(10);
-  // 100 bytes each.  An end of an engine leaves as many suspects as it had requests, at most
-  // some twenty, so this is room for the ends of 200 engines in ten minutes.
+  // 100 bytes each.  A crash adds one suspect for each request on the engine, at most about
+  // twenty, so this is enough for 200 crashes in ten minutes.
   static constexpr size_t kMaxSuspects = 4096;
   static constexpr size_t kMaxQuarantined = 1024;
-  // Engines kept for one content, the latest.
+  // Crashes recorded for one content; the latest are kept.
   static constexpr size_t kMaxEnginesKept = 32;
 
-  explicit Quarantine(Duration quarantine_lasts) : lasts(quarantine_lasts) {}
+  explicit Quarantine(Duration quarantine_duration) : duration(quarantine_duration) {}
 
-  // Takes an engine's end under a content, seen here or told.  `sent` says when the engine got
-  // the request, where it was seen here.  Whether it was news.
+  // Records a crash that was seen here or reported by a peer.  `sent` is the time at which the
+  // engine received the request; it is set only for crashes seen here.  Returns false if the
+  // crash is already recorded or the content was cleared less than kClearedFor ago.
   bool NoteCrash(const CrashReport& report, Time now, std::optional<Time> sent = std::nullopt);
 
-  // A request of that content was answered whole.  Whether anything was held against it.
+  // Clears a content that was answered completely.  Returns whether the content had recorded
+  // crashes or was in quarantine.
   bool NoteAnswered(ContentId content, Time now);
 
-  // Whether the content is or was under suspicion: an answer to it is worth noting.
+  // Whether the content is or was suspected, so that an answer to it must be recorded.
   bool HasRecordOf(ContentId content) const { return this->records.count(content) != 0; }
   bool has_records() const { return !this->records.empty(); }
 
-  // Puts those into quarantine whose time to be judged has come, and returns them.
+  // Decides on every content whose last crash report is at least kDecisionDelay old, puts those
+  // that cause the crashes into quarantine, and returns them.
   std::vector<ContentId> Evaluate(Time now);
 
-  // Puts a content into quarantine on another's word, for that long from now on (at most as
-  // long as our own would last).  Whether it was not in it yet.
+  // Puts a content into quarantine on a peer's report.  The quarantine lasts for `left`, but at
+  // most as long as one that was decided here.  Returns false if the content is already in
+  // quarantine or was cleared less than kClearedFor ago.
   bool AdoptFromPeer(ContentId content, Duration left, Time now);
 
-  // For how long a content is not to be sent; nothing where it may be.  A quarantine, or the
-  // moment until one is decided.
+  // How much longer the content must not be sent to an engine, because it is in quarantine or
+  // the decision is pending.  Empty if the content may be sent.
   std::optional<Duration> RefusedFor(ContentId content, Time now) const;
 
-  // Whether a request whose attempt just broke off may be sent to a second engine at once.  Not
-  // where this may have been the third: its caller comes back, and by then it is known.
+  // Whether a request whose attempt just failed may be sent to a second engine at once.  False if
+  // this failure may be the third crash: the decision is made before the caller retries.
   bool AllowsSecondAttempt(ContentId content) const {
     return this->CrashCount(content) + 1 < kMinCrashes;
   }
 
-  // The rest of its quarantine; nothing where it is in none.
+  // The time left in quarantine; empty if the content is not in quarantine.
   std::optional<Duration> QuarantinedFor(ContentId content, Time now) const;
   bool IsQuarantined(ContentId content, Time now) const {
     return this->QuarantinedFor(content, now).has_value();
   }
 
-  // Engines that have ended under it, and those of them that nothing else explains.
+  // The engines that crashed while running the content, and how many of these crashes are not
+  // explained by another content in quarantine.
   size_t CrashCount(ContentId content) const;
   size_t UnexplainedCrashCount(ContentId content) const;
 
-  // Forgets what is over.
+  // Removes expired quarantines and expired suspects.
   void Tick(Time now);
 
-  // All contents now in quarantine.
+  // All contents that are in quarantine at `now`.
   std::vector<ContentId> Quarantined(Time now) const;
 
   size_t suspects() const { return this->records.size() - this->quarantined_count; }
   size_t quarantined() const { return this->quarantined_count; }
-  // Contents that were forgotten for want of room.
+  // Contents that were evicted because a memory bound was reached.
   uint64_t forgotten() const { return this->forgotten_count; }
 
  private:
@@ -143,10 +155,10 @@
     Time received_at;
   };
   struct Record {
-    // In the order in which they were heard.
+    // In the order in which the reports arrived.
     std::vector<Crash> crashes;
     Time last_report_at{};
-    // Some engine got the request after another had ended under it.
+    // Whether an engine received the request after another had crashed under it.
     bool was_resent = false;
     std::optional<Time> cleared_at;
     std::optional<Time> quarantined_until;
@@ -159,18 +171,18 @@
   static bool IsBurst(const Record& record);
   bool IsCause(ContentId content, const Record& record) const;
   size_t AttributedCrashes(ContentId content, const std::vector<Crash>& crashes) const;
-  void StartQuarantine(Record* record, Duration how_long, Time now);
+  void StartQuarantine(Record* record, Duration left, Time now);
   void MarkExplained(const Record& record);
   void RecomputeExplained();
   void EvictSuspects();
   void EvictQuarantined();
   void Erase(Records::iterator where);
 
-  Duration lasts;
+  Duration duration;
   Records records;
-  // Engines that ended under a content in quarantine.
+  // Engines that crashed while running a content in quarantine.
   std::unordered_set<EngineKey> explained;
-  // Contents with enough engines, until they are judged.
+  // Contents with enough crashes that are not decided yet.
   std::unordered_set<ContentId> undecided;
   size_t quarantined_count = 0;
   uint64_t forgotten_count = 0;
--- a/src/serving/quarantine_entry.cc
+++ b/src/serving/quarantine_entry.cc
@@ -1,4 +1,4 @@
-// To and from FlatBuffers; the schema is gullward.fbs.
+// Encoding and decoding with FlatBuffers; the schema is gullward.fbs.
 
 #include "serving/quarantine_entry.h"
 
@@ -25,8 +25,8 @@
   ContentId content = 0;
   auto [end, error] =
       std::from_chars(digits.data(), digits.data() + digits.size(), content, /*base=*/16);
-  bool read_all = error == std::errc() && end == digits.data() + digits.size();
-  return read_all ? std::optional<ContentId>(content) : std::nullopt;
+  bool is_number = error == std::errc() && end == digits.data() + digits.size();
+  return is_number ? std::optional<ContentId>(content) : std::nullopt;
 }
 
 std::string EncodeQuarantineEntry(const QuarantineEntry& entry) {
@@ -41,8 +41,8 @@
   flatbuffers::Verifier verifier(bytes, value.size());
   if (!verifier.VerifyBuffer<fb::QuarantineEntry>(nullptr)) return std::nullopt;
   const auto* packed = flatbuffers::GetRoot<fb::QuarantineEntry>(bytes);
-  constexpr uint64_t kMost = std::numeric_limits<int64_t>::max();
-  if (packed->judged_by() == nullptr || packed->until_ms() > kMost) return std::nullopt;
+  constexpr uint64_t kMaxTime = std::numeric_limits<int64_t>::max();
+  if (packed->judged_by() == nullptr || packed->until_ms() > kMaxTime) return std::nullopt;
   QuarantineEntry entry;
   entry.until_ms = static_cast<int64_t>(packed->until_ms());
   entry.judged_by = packed->judged_by()->str();
--- a/src/serving/quarantine_entry.h
+++ b/src/serving/quarantine_entry.h
@@ -1,4 +1,5 @@
-// How gateways keep a content in quarantine in the store, so that it outlasts all of them.
+// The store record of a content in quarantine.  Gateways keep it in the store so that the
+// quarantine survives a restart of all gateways.
 //
 //   std::string key = QuarantineKey(content);            // "quarantine/9c41d07be2a35f68"
 //   std::optional<ContentId> content = ContentOfKey(key);
@@ -17,23 +18,25 @@
 namespace gullward {
 
 struct QuarantineEntry {
-  // Unix time in milliseconds.  Clocks of boxes differ by seconds, a quarantine lasts longer.
+  // The end of the quarantine, as Unix time in milliseconds.  The clocks of boxes differ by
+  // seconds, which is little against the length of a quarantine.
   int64_t until_ms = 0;
-  // Whose judgement it was, and by how many engines: for operators.
+  // The box that decided, and how many engines had crashed.  Both are for operators.
   std::string judged_by;
   uint32_t engines = 0;
 
   bool operator==(const QuarantineEntry&) const = default;
 };
 
+// The store key of a content's record.
 std::string QuarantineKey(ContentId content);
 
-// Nothing where the key is none of a quarantine.
+// The content of a store key; empty if the key is not the key of a quarantine record.
 std::optional<ContentId> ContentOfKey(std::string_view key);
 
 std::string EncodeQuarantineEntry(const QuarantineEntry& entry);
 
-// Nothing if the bytes are no entry.
+// Empty if `value` is not a valid record.
 std::optional<QuarantineEntry> DecodeQuarantineEntry(std::string_view value);
 
 }  // namespace gullward
--- a/src/serving/request_content.h
+++ b/src/serving/request_content.h
@@ -1,8 +1,8 @@
-// Names a request by what it asks for.
+// Identifies requests by their content.
 //
-// Each try of a caller has an id of its own, so nothing in a request tells that it has
-// come before.  Its content does: who asks (the client account), for what (method and
-// path) and with which body.  Two requests of one content make an engine do the same.
+// Every attempt of a caller has a request id of its own, so the id does not show that the same
+// request was sent before.  The content does: the client account, the method, the path and the
+// body.  Two requests with the same content make an engine do the same work.
 //
 //   ContentId content = ContentOf({account, method, target, body});
 //   line.Text("content", ContentName(content));
@@ -20,12 +20,12 @@
 
 namespace gullward {
 
-// A hash.  Among a thousand contents that are remembered, one of 41,000 others a second is
-// mistaken for one of them once in 14,000 years.
+// A 64-bit hash of the content.  With a thousand recorded contents and 41,000 other requests per
+// second, a collision occurs once in 14,000 years.
 using ContentId = uint64_t;
 
 struct RequestContent {
-  // The client account's name; empty where the route asks for none.
+  // The client account's name; empty if the route needs no account.
   std::string_view account;
   std::string_view method;
   std::string_view target;
@@ -42,7 +42,7 @@
   return hash;
 }
 
-// As logs and the store's keys write it: 16 digits.
+// The content as 16 hexadecimal digits, as in log lines and store keys.
 inline std::string ContentName(ContentId content) {
   return absl::StrCat(absl::Hex(content, absl::kZeroPad16));
 }
--- a/src/serving/revalidation_schedule.h
+++ b/src/serving/revalidation_schedule.h
@@ -1,16 +1,17 @@
-// When this process proves anew that its configuration is current.
+// Decides when this process revalidates its configuration, that is, asks the store whether the
+// configuration is still the newest one.
 //
-// Keys may be accepted for a bounded time after the last proof (freshness.h), and
-// each proof costs a call to the store.  A proof by any process serves all of them
-// (peer_freshness.h), so one in every interval is enough for the whole fleet, and
-// nobody has to be appointed to get it: each process waits, beyond an age at which
-// nobody needs a new proof, for a time that it draws by lot.  Who drew the shortest
-// asks the store and tells the others, who then draw again.  A process that hears
-// nobody asks for itself in time.
+// API keys may be accepted for a bounded time after the last validation (freshness.h), and each
+// validation costs a call to the store.  A validation by one process serves all of them
+// (peer_freshness.h), so one call per interval is enough for the whole fleet, and no process is
+// assigned to make it.  Each process waits until the last validation has reached an age below
+// which none is needed, and then for a random delay.  The process with the shortest delay asks the
+// store and sends the result to the others, which then draw a new delay.  A process that receives
+// no results from others asks the store itself in time.
 //
-//   ProofSchedule schedule(trust, seed);
-//   if (schedule.IsDue(proved_at, now)) { schedule.NoteAsked(); ... }
-//   schedule.NoteBehind(now);        // there was news instead of a proof
+//   RevalidationSchedule schedule(trust_duration, seed);
+//   if (schedule.IsDue(validated_at, now)) { schedule.NoteRequested(); ... }
+//   schedule.NoteBehind(now);        // the store has a newer configuration
 
 #ifndef GULLWARD_SERVING_REVALIDATION_SCHEDULE_H_
 #define GULLWARD_SERVING_REVALIDATION_SCHEDULE_H_
@@ -24,45 +25,49 @@
 
 class RevalidationSchedule {
  public:
-  // Shares of the time for which keys may be trusted: up to the first nobody asks,
-  // and the lots are drawn over the second.  Four tenths remain for a store that is
-  // slow or silent at first.
+  // Shares of the time for which keys may be trusted.  No process asks during the first, and the
+  // random delays are spread over the second.  The remaining 0.4 leave time for a store that
+  // answers slowly or not at first.
   static constexpr double kQuietShare = 0.3;
   static constexpr double kJitterShare = 0.3;
-  // After news: they are in force by then.
+  // Pause after the store has reported a newer configuration.  After it the new one is in force here.
   static constexpr Duration kNewerConfigPause = milliseconds(500);
 
-  RevalidationSchedule(Duration key_trust, uint64_t seed) : trust(key_trust), random(seed) {}
+  RevalidationSchedule(Duration trust_duration, uint64_t seed)
+      : key_trust(trust_duration), random(seed) {}
 
-  // Whether to ask now, given when the configuration was last proved current.
-  bool IsDue(Time proved_at, Time now) {
-    if (proved_at != this->drawn_for) this->Draw(proved_at);
-    return !this->asking && now >= this->due && now >= this->not_before;
+  // Whether to ask the store now.  `validated_at` is the time of the last validation.
+  bool IsDue(Time validated_at, Time now) {
+    if (validated_at != this->drawn_for) this->DrawDelay(validated_at);
+    return !this->is_requested && now >= this->due_at && now >= this->not_before;
   }
 
-  bool is_pending() const { return this->asking; }
-  void NoteRequested() { this->asking = true; }
-  void NoteValidated() { this->asking = false; }
-  // The store did not answer, and may be asked again.
-  void NoteRetry() { this->asking = false; }
+  // Whether a request to the store is pending.
+  bool is_pending() const { return this->is_requested; }
+  void NoteRequested() { this->is_requested = true; }
+  void NoteValidated() { this->is_requested = false; }
+  // The store did not answer and may be asked again.
+  void NoteRetry() { this->is_requested = false; }
+  // The store has a newer configuration than this process.
   void NoteBehind(Time now) {
-    this->asking = false;
+    this->is_requested = false;
     this->not_before = now + kNewerConfigPause;
   }
 
  private:
-  void Draw(Time proved_at) {
-    std::uniform_real_distribution<double> lot(0, kJitterShare);
-    this->drawn_for = proved_at;
-    this->due = proved_at + FromSeconds((kQuietShare + lot(this->random)) * ToSeconds(this->trust));
+  void DrawDelay(Time validated_at) {
+    std::uniform_real_distribution<double> jitter(0, kJitterShare);
+    this->drawn_for = validated_at;
+    this->due_at = validated_at +
+                   FromSeconds((kQuietShare + jitter(this->random)) * ToSeconds(this->key_trust));
   }
 
-  Duration trust;
+  Duration key_trust;
   std::mt19937_64 random;
   Time drawn_for{};
-  Time due{};
+  Time due_at{};
   Time not_before{};
-  bool asking = false;
+  bool is_requested = false;
 };
 
 }  // namespace gullward
--- a/src/serving/settled_epoch.h
+++ b/src/serving/settled_epoch.h
@@ -1,7 +1,7 @@
-// The entry by which gateways say, to those that start later, which epoch of the store they
-// have seen for long enough (serving/store_epoch.h).
+// The store record with the latest settled epoch of the store (serving/store_epoch.h).
 //
-// It stands in the topic by which gateways know each other, beside their own entries.
+// A gateway that has seen an epoch for long enough writes the record, so that gateways that start
+// later need not wait.  The record is in the topic of the gateways' own entries.
 
 #ifndef GULLWARD_SERVING_SETTLED_EPOCH_H_
 #define GULLWARD_SERVING_SETTLED_EPOCH_H_
@@ -19,9 +19,10 @@
 
 inline constexpr std::string_view kSettledEpochKey = "epoch/settled";
 
+// The record's value: the epoch as a decimal number.
 inline std::string EncodeSettledEpoch(uint64_t epoch) { return absl::StrCat(epoch); }
 
-// Nothing if the value is no number.
+// Empty if the value is not a number.
 inline std::optional<uint64_t> DecodeSettledEpoch(std::string_view value) {
   uint64_t epoch = 0;
   bool is_number = absl::SimpleAtoi(AbslView(value), &epoch);
--- a/src/serving/shared_quarantine.cc
+++ b/src/serving/shared_quarantine.cc
@@ -1,4 +1,4 @@
-// shared_quarantine.h tells what it is for.
+// shared_quarantine.h describes the class.
 
 #include "serving/shared_quarantine.h"
 
@@ -6,59 +6,61 @@
 
 namespace gullward {
 
-SharedQuarantine::SharedQuarantine(std::string own_box, Duration quarantine_lasts,
+SharedQuarantine::SharedQuarantine(std::string own_box, Duration quarantine_duration,
                                    Hooks event_hooks)
     : box(std::move(own_box)),
-      lasts(quarantine_lasts),
+      duration(quarantine_duration),
       hooks(std::move(event_hooks)),
-      quarantine(quarantine_lasts) {}
+      quarantine(quarantine_duration) {}
 
 bool SharedQuarantine::NoteCrash(const CrashReport& report, Time now, std::optional<Time> sent) {
   if (!this->quarantine.NoteCrash(report, now, sent)) return false;
-  this->news.AddCrash(report);
+  this->gossip.AddCrash(report);
   size_t engines = this->quarantine.UnexplainedCrashCount(report.content);
-  bool worth_telling = engines >= kMinCrashesToReport && this->hooks.suspected;
-  if (worth_telling) this->hooks.suspected(report.content, engines);
+  bool must_report = engines >= kMinCrashesToReport && this->hooks.suspected;
+  if (must_report) this->hooks.suspected(report.content, engines);
   return true;
 }
 
-// The word that nothing is held against a content any more goes round only where more than
-// one engine was: most requests that were on an engine that ended are answered soon.
+// Clearing a content is passed on only if the content had several crashes or was in quarantine:
+// most requests that were running on a crashed engine have one crash and are answered soon.
 void SharedQuarantine::Clear(ContentId content, const std::string& by, Time now) {
   bool was_quarantined = this->quarantine.IsQuarantined(content, now);
   bool was_suspect = this->quarantine.UnexplainedCrashCount(content) >= kMinCrashesToReport;
   if (!this->quarantine.NoteAnswered(content, now)) return;
   if (!was_quarantined && !was_suspect) return;
-  this->news.AddAnswered(content);
+  this->gossip.AddAnswered(content);
   if (this->hooks.cleared) this->hooks.cleared(content, was_quarantined, by);
 }
 
-void SharedQuarantine::AnnounceQuarantine(const QuarantineReport& word, const std::string& by) {
-  this->news.AddQuarantined(word);
-  if (this->hooks.quarantined) this->hooks.quarantined(word, by);
+void SharedQuarantine::AnnounceQuarantine(const QuarantineReport& report, const std::string& by) {
+  this->gossip.AddQuarantined(report);
+  if (this->hooks.quarantined) this->hooks.quarantined(report, by);
 }
 
-void SharedQuarantine::AdoptFromPeer(const QuarantineReport& word, const std::string& by,
+void SharedQuarantine::AdoptFromPeer(const QuarantineReport& report, const std::string& by,
                                      Time now) {
-  if (this->quarantine.AdoptFromPeer(word.content, word.left, now))
-    this->AnnounceQuarantine(word, by);
+  if (this->quarantine.AdoptFromPeer(report.content, report.left, now))
+    this->AnnounceQuarantine(report, by);
 }
 
-CrashGossip SharedQuarantine::Receive(const std::string& peer, const CrashGossip& told, Time now) {
-  for (const QuarantineReport& word : told.quarantined) this->AdoptFromPeer(word, peer, now);
-  for (ContentId content : told.answered) this->Clear(content, peer, now);
+CrashGossip SharedQuarantine::Receive(const std::string& peer, const CrashGossip& received,
+                                      Time now) {
+  for (const QuarantineReport& report : received.quarantined)
+    this->AdoptFromPeer(report, peer, now);
+  for (ContentId content : received.answered) this->Clear(content, peer, now);
   CrashGossip reply;
-  for (const CrashReport& report : told.crashes) {
+  for (const CrashReport& report : received.crashes) {
     std::optional<Duration> left = this->quarantine.QuarantinedFor(report.content, now);
-    bool is_news = this->NoteCrash(report, now);
-    if (is_news && left) reply.quarantined.push_back({report.content, *left});
+    bool is_new = this->NoteCrash(report, now);
+    if (is_new && left) reply.quarantined.push_back({report.content, *left});
   }
   return reply;
 }
 
 void SharedQuarantine::Tick(Time now) {
   for (ContentId content : this->quarantine.Evaluate(now)) {
-    this->AnnounceQuarantine({content, this->lasts}, this->box);
+    this->AnnounceQuarantine({content, this->duration}, this->box);
   }
 }
 
--- a/src/serving/shared_quarantine.h
+++ b/src/serving/shared_quarantine.h
@@ -1,14 +1,14 @@
-// One gateway's part of the quarantine that all gateways share.
+// One gateway's copy of the quarantine that all gateways share.
 //
-// Ties what is judged (quarantine.h) to what is told (crash_news.h): an engine's end seen here
-// is judged here and told to the others, and so is what they tell.  There is no network and no
-// clock in it, so a trial can play any number of gateways.
+// Combines the decisions of quarantine.h with the gossip of crash_gossip.h: crashes that are seen
+// here and reports from peers are both evaluated here and passed on to other gateways.  The class
+// uses neither the network nor a clock, so a trial can run any number of gateways.
 //
 //   SharedQuarantine shared("box-1", std::chrono::hours(1), hooks);
 //   shared.NoteCrash({content, EngineKeyOf(incarnation)}, now);
-//   CrashNews reply = shared.Hear("box-2", news, now);    // goes back to box-2
-//   shared.Tick(now);                                     // often
-//   CrashNews news = shared.TakeNews();                   // goes to a few peers
+//   CrashGossip reply = shared.Receive("box-2", received, now);   // is sent back to box-2
+//   shared.Tick(now);                                             // regularly
+//   CrashGossip gossip = shared.TakeGossip();                     // is sent to a few peers
 
 #ifndef GULLWARD_SERVING_SHARED_QUARANTINE_H_
 #define GULLWARD_SERVING_SHARED_QUARANTINE_H_
@@ -23,56 +23,58 @@
 
 class SharedQuarantine {
  public:
-  // A second engine under one content is worth telling operators; a first is lost with every
-  // engine.
+  // Unexplained crashes of one content before it is reported to operators.  A single crash says
+  // little: each engine that crashes gives one to every content that was running on it.
   static constexpr size_t kMinCrashesToReport = 2;
 
-  // All may be empty.
+  // Functions that are called when the state of a content changes.  Each may be empty.
   struct Hooks {
-    // So many engines have ended under a content; kCrashesToTell or more.
+    // The content has `engines` unexplained crashes, kMinCrashesToReport or more.
     std::function<void(ContentId content, size_t engines)> suspected;
-    // A content is in quarantine from now on, for that long, by the judgement of that box.
-    std::function<void(const QuarantineReport& word, const std::string& by)> quarantined;
-    // Nothing is held against a content any more, by what that box has seen.
+    // A content was put into quarantine by the decision of the box `by`.
+    std::function<void(const QuarantineReport& report, const std::string& by)> quarantined;
+    // A content was cleared, because the box `by` has seen a complete answer to it.
     std::function<void(ContentId content, bool was_quarantined, const std::string& by)> cleared;
   };
 
-  SharedQuarantine(std::string own_box, Duration quarantine_lasts, Hooks event_hooks);
+  SharedQuarantine(std::string own_box, Duration quarantine_duration, Hooks event_hooks);
 
-  // An engine's end under a content, seen here (then with when it was sent there) or told.
-  // Whether it was news.
+  // Records a crash that was seen here or reported by a peer.  `sent` is the time at which the
+  // engine received the request; it is set only for crashes seen here.  Returns whether the
+  // crash was new.
   bool NoteCrash(const CrashReport& report, Time now, std::optional<Time> sent = std::nullopt);
 
-  // A request of that content was answered whole here.
+  // A request with this content was answered completely here.
   void NoteAnswered(ContentId content, Time now) { this->Clear(content, this->box, now); }
 
-  // Another's judgement, from a peer or from the store.
-  void AdoptFromPeer(const QuarantineReport& word, const std::string& by, Time now);
+  // Adopts the decision of the box `by`, which was received from a peer or read from the store.
+  void AdoptFromPeer(const QuarantineReport& report, const std::string& by, Time now);
 
-  // What a peer tells.  Returns what the peer should be told in turn: it reported an end under
-  // a content that is in quarantine, so it does not know of that.
-  CrashGossip Receive(const std::string& peer, const CrashGossip& told, Time now);
+  // Applies the gossip of a peer.  Returns the reply for this peer: the quarantined contents for
+  // which it sent new crash reports.  A peer that reports such a crash has not received the
+  // quarantine yet.  Empty if there are none.
+  CrashGossip Receive(const std::string& peer, const CrashGossip& received, Time now);
 
-  // Judges what is due.
+  // Puts the contents into quarantine for which the decision is due.
   void Tick(Time now);
-  // Forgets what is over.
+  // Removes expired quarantines and expired suspects.
   void Forget(Time now) { this->quarantine.Tick(now); }
 
-  // News for a few peers; empty where there is none.
-  CrashGossip TakeGossip() { return this->news.TakeBatch(); }
+  // Returns the next batch for kFanout random peers; empty if none is queued.
+  CrashGossip TakeGossip() { return this->gossip.TakeBatch(); }
 
   const Quarantine& contents() const { return this->quarantine; }
-  uint64_t gossip_dropped() const { return this->news.dropped(); }
+  uint64_t gossip_dropped() const { return this->gossip.dropped(); }
 
  private:
   void Clear(ContentId content, const std::string& by, Time now);
-  void AnnounceQuarantine(const QuarantineReport& word, const std::string& by);
+  void AnnounceQuarantine(const QuarantineReport& report, const std::string& by);
 
   std::string box;
-  Duration lasts;
+  Duration duration;
   Hooks hooks;
   Quarantine quarantine;
-  CrashGossipQueue news;
+  CrashGossipQueue gossip;
 };
 
 }  // namespace gullward
