--- a/src/serving/revalidation_schedule.h
+++ b/src/serving/revalidation_schedule.h
@@ -30,7 +30,7 @@
   // answers slowly or not at first.
   static constexpr double kQuietShare = 0.3;
   static constexpr double kJitterShare = 0.3;
-  // Pause after the store has reported a newer configuration.  After it the new one is in force here.
+  // Pause after the store has reported a newer configuration, which is in force here by then.
   static constexpr Duration kNewerConfigPause = milliseconds(500);
 
   RevalidationSchedule(Duration trust_duration, uint64_t seed)
--- a/src/serving/testing/quarantine_test.cc
+++ b/src/serving/testing/quarantine_test.cc
@@ -1,4 +1,5 @@
-// What is held against a content, when it is judged, and what is forgotten.
+// Tests of the quarantine: which crashes count against a content, when it is put into quarantine,
+// how gateways exchange their reports, and the encoded forms.
 
 #define BOOST_TEST_MODULE quarantine
 #include <algorithm>
@@ -19,12 +20,12 @@
 namespace {
 
 const Time kStart = Time{} + seconds(1000);
-constexpr Duration kLasts = std::chrono::minutes(30);
-constexpr ContentId kDeadly = 7;
-constexpr ContentId kInnocent = 8;
+constexpr Duration kQuarantineDuration = std::chrono::minutes(30);
+constexpr ContentId kCrashing = 7;
+constexpr ContentId kHarmless = 8;
 
-// An engine's end under a content, so long after the start.
-struct End {
+// An engine crashes `at_ms` after the start while running a content.
+struct CrashEvent {
   ContentId content;
   EngineKey engine;
   int at_ms;
@@ -32,219 +33,224 @@
 
 Time At(int ms) { return kStart + milliseconds(ms); }
 
-struct JudgementCase {
+struct DecisionCase {
   const char* what;
-  std::vector<End> ends;
-  bool deadly_refused_at_once;
+  std::vector<CrashEvent> crashes;
+  bool is_refused_at_once;
   std::vector<ContentId> quarantined;
 };
 
-const JudgementCase kJudgements[] = {
-    {"one engine is chance", {{kDeadly, 1, 0}}, false, {}},
-    {"two may be chance", {{kDeadly, 1, 0}, {kDeadly, 2, 1000}}, false, {}},
-    {"three are not", {{kDeadly, 1, 0}, {kDeadly, 2, 1000}, {kDeadly, 3, 2000}}, true, {kDeadly}},
-    {"one engine counts once, whoever tells it",
-     {{kDeadly, 1, 0}, {kDeadly, 1, 500}, {kDeadly, 1, 1000}, {kDeadly, 2, 2000}},
+const DecisionCase kDecisionCases[] = {
+    {"one crash may be a coincidence", {{kCrashing, 1, 0}}, false, {}},
+    {"two crashes may be a coincidence", {{kCrashing, 1, 0}, {kCrashing, 2, 1000}}, false, {}},
+    {"three crashes are not a coincidence",
+     {{kCrashing, 1, 0}, {kCrashing, 2, 1000}, {kCrashing, 3, 2000}},
+     true,
+     {kCrashing}},
+    {"several reports of the same crash count once",
+     {{kCrashing, 1, 0}, {kCrashing, 1, 500}, {kCrashing, 1, 1000}, {kCrashing, 2, 2000}},
      false,
      {}},
-    {"three in one moment are a rack",
-     {{kDeadly, 1, 0}, {kDeadly, 2, 10}, {kDeadly, 3, 20}},
+    {"three simultaneous crashes count as a rack failure",
+     {{kCrashing, 1, 0}, {kCrashing, 2, 10}, {kCrashing, 3, 20}},
      false,
      {}},
-    {"a rack and one more are not",
-     {{kDeadly, 1, 0}, {kDeadly, 2, 10}, {kDeadly, 3, 20}, {kDeadly, 4, 1000}},
+    {"a rack failure and one later crash lead to a quarantine",
+     {{kCrashing, 1, 0}, {kCrashing, 2, 10}, {kCrashing, 3, 20}, {kCrashing, 4, 1000}},
      true,
-     {kDeadly}},
-    {"of two that lost the same engines, one was only there",
-     {{kDeadly, 1, 0},
-      {kInnocent, 1, 0},
-      {kDeadly, 2, 1000},
-      {kInnocent, 2, 1000},
-      {kDeadly, 3, 2000},
-      {kInnocent, 3, 2000}},
+     {kCrashing}},
+    {"two contents with the same crashes are both spared",
+     {{kCrashing, 1, 0},
+      {kHarmless, 1, 0},
+      {kCrashing, 2, 1000},
+      {kHarmless, 2, 1000},
+      {kCrashing, 3, 2000},
+      {kHarmless, 3, 2000}},
      true,
      {}},
-    {"the next engine tells which",
-     {{kDeadly, 1, 0},
-      {kInnocent, 1, 0},
-      {kDeadly, 2, 1000},
-      {kInnocent, 2, 1000},
-      {kDeadly, 3, 2000},
-      {kInnocent, 3, 2000},
-      {kDeadly, 4, 3000},
-      {kDeadly, 5, 4000}},
+    {"further crashes tell the contents apart",
+     {{kCrashing, 1, 0},
+      {kHarmless, 1, 0},
+      {kCrashing, 2, 1000},
+      {kHarmless, 2, 1000},
+      {kCrashing, 3, 2000},
+      {kHarmless, 3, 2000},
+      {kCrashing, 4, 3000},
+      {kCrashing, 5, 4000}},
      true,
-     {kDeadly}},
-    {"company is no excuse for ever",
-     {{kDeadly, 1, 0},
-      {kInnocent, 1, 0},
-      {kDeadly, 2, 1000},
-      {kInnocent, 2, 1000},
-      {kDeadly, 3, 2000},
-      {kInnocent, 3, 2000},
-      {kDeadly, 4, 3000},
-      {kInnocent, 4, 3000},
-      {kDeadly, 5, 4000},
-      {kInnocent, 5, 4000}},
+     {kCrashing}},
+    {"five crashes lead to a quarantine even if all are shared",
+     {{kCrashing, 1, 0},
+      {kHarmless, 1, 0},
+      {kCrashing, 2, 1000},
+      {kHarmless, 2, 1000},
+      {kCrashing, 3, 2000},
+      {kHarmless, 3, 2000},
+      {kCrashing, 4, 3000},
+      {kHarmless, 4, 3000},
+      {kCrashing, 5, 4000},
+      {kHarmless, 5, 4000}},
      true,
-     {kDeadly, kInnocent}},
+     {kCrashing, kHarmless}},
 };
 
-BOOST_AUTO_TEST_CASE(Judgements) {
-  for (const JudgementCase& one : kJudgements) {
-    BOOST_TEST_CONTEXT(one.what) {
-      Quarantine quarantine(kLasts);
+BOOST_AUTO_TEST_CASE(QuarantineDecisions) {
+  for (const DecisionCase& test_case : kDecisionCases) {
+    BOOST_TEST_CONTEXT(test_case.what) {
+      Quarantine quarantine(kQuarantineDuration);
       Time last = kStart;
-      for (const End& end : one.ends) {
-        last = At(end.at_ms);
-        quarantine.NoteCrash({end.content, end.engine}, last);
+      for (const CrashEvent& crash : test_case.crashes) {
+        last = At(crash.at_ms);
+        quarantine.NoteCrash({crash.content, crash.engine}, last);
       }
-      BOOST_TEST(quarantine.RefusedFor(kDeadly, last).has_value() == one.deadly_refused_at_once);
+      BOOST_TEST(quarantine.RefusedFor(kCrashing, last).has_value() ==
+                 test_case.is_refused_at_once);
       BOOST_TEST(quarantine.Evaluate(last + Quarantine::kDecisionDelay / 2).empty());
-      Time settled = last + Quarantine::kDecisionDelay;
-      quarantine.Evaluate(settled);
-      std::vector<ContentId> quarantined = quarantine.Quarantined(settled);
+      Time decided_at = last + Quarantine::kDecisionDelay;
+      quarantine.Evaluate(decided_at);
+      std::vector<ContentId> quarantined = quarantine.Quarantined(decided_at);
       std::sort(quarantined.begin(), quarantined.end());
-      BOOST_TEST(quarantined == one.quarantined, boost::test_tools::per_element());
+      BOOST_TEST(quarantined == test_case.quarantined, boost::test_tools::per_element());
     }
   }
 }
 
-// Three engines, a second apart.
-void EndThree(Quarantine* quarantine, ContentId content, Time begin, EngineKey first_engine = 1) {
+// Adds kMinCrashes crashes that are one second apart.
+void AddCrashes(Quarantine* quarantine, ContentId content, Time begin, EngineKey first_engine = 1) {
   for (EngineKey i = 0; i < Quarantine::kMinCrashes; ++i) {
     quarantine->NoteCrash({content, first_engine + i}, begin + seconds(i));
   }
 }
 
-BOOST_AUTO_TEST_CASE(ThreeInOneMomentCountWhereOneGotItAfterAnotherHadEnded) {
-  Quarantine quarantine(kLasts);
-  quarantine.NoteCrash({kDeadly, 1}, At(0), At(-50));
-  quarantine.NoteCrash({kDeadly, 2}, At(20), At(5));
-  quarantine.NoteCrash({kDeadly, 3}, At(40), At(25));
-  BOOST_TEST(quarantine.RefusedFor(kDeadly, At(40)).has_value());
+BOOST_AUTO_TEST_CASE(SimultaneousCrashesCountIfARequestWasResentAfterACrash) {
+  Quarantine quarantine(kQuarantineDuration);
+  quarantine.NoteCrash({kCrashing, 1}, At(0), At(-50));
+  quarantine.NoteCrash({kCrashing, 2}, At(20), At(5));
+  quarantine.NoteCrash({kCrashing, 3}, At(40), At(25));
+  BOOST_TEST(quarantine.RefusedFor(kCrashing, At(40)).has_value());
   BOOST_TEST(quarantine.Evaluate(At(40) + Quarantine::kDecisionDelay).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerClearsAContentAndWordsThatComeLate) {
-  Quarantine quarantine(kLasts);
-  EndThree(&quarantine, kInnocent, kStart);
+BOOST_AUTO_TEST_CASE(AnAnswerClearsAContentAndLateReportsAreIgnored) {
+  Quarantine quarantine(kQuarantineDuration);
+  AddCrashes(&quarantine, kHarmless, kStart);
   Time answered = kStart + seconds(2);
-  BOOST_TEST(quarantine.NoteAnswered(kInnocent, answered));
-  BOOST_TEST(!quarantine.NoteAnswered(kInnocent, answered));
-  BOOST_TEST(!quarantine.NoteCrash({kInnocent, 9}, answered + milliseconds(100)));
+  BOOST_TEST(quarantine.NoteAnswered(kHarmless, answered));
+  BOOST_TEST(!quarantine.NoteAnswered(kHarmless, answered));
+  BOOST_TEST(!quarantine.NoteCrash({kHarmless, 9}, answered + milliseconds(100)));
   BOOST_TEST(quarantine.Evaluate(answered + seconds(1)).empty());
-  BOOST_TEST(!quarantine.RefusedFor(kInnocent, answered));
-  // Later ends count again.
-  BOOST_TEST(quarantine.NoteCrash({kInnocent, 10}, answered + Quarantine::kClearedFor));
+  BOOST_TEST(!quarantine.RefusedFor(kHarmless, answered));
+  // Later crashes count again.
+  BOOST_TEST(quarantine.NoteCrash({kHarmless, 10}, answered + Quarantine::kClearedFor));
 }
 
-// A content that was answered once is held against like any other from then on: what is noted
-// before the record of the answer is dropped must last as long.
-BOOST_AUTO_TEST_CASE(AnEndSoonAfterAnAnswerIsRememberedAsLongAsAnyOther) {
+// Guards against losing a crash that is reported while the record of an earlier answer still
+// exists: it must be kept for kSuspicionLifetime, like any other crash.
+BOOST_AUTO_TEST_CASE(ACrashSoonAfterAnAnswerIsKeptAsLongAsAnyOther) {
   for (Duration after : {Quarantine::kClearedFor, Quarantine::kClearedFor + milliseconds(400)}) {
-    Quarantine quarantine(kLasts);
-    quarantine.NoteCrash({kInnocent, 1}, kStart);
-    quarantine.NoteAnswered(kInnocent, kStart);
-    BOOST_TEST(quarantine.NoteCrash({kInnocent, 2}, kStart + after));
+    Quarantine quarantine(kQuarantineDuration);
+    quarantine.NoteCrash({kHarmless, 1}, kStart);
+    quarantine.NoteAnswered(kHarmless, kStart);
+    BOOST_TEST(quarantine.NoteCrash({kHarmless, 2}, kStart + after));
     quarantine.Tick(kStart + after + Quarantine::kClearedFor);
-    BOOST_TEST(quarantine.CrashCount(kInnocent) == 1u);
+    BOOST_TEST(quarantine.CrashCount(kHarmless) == 1u);
     quarantine.Tick(kStart + after + Quarantine::kSuspicionLifetime);
-    BOOST_TEST(quarantine.CrashCount(kInnocent) == 0u);
+    BOOST_TEST(quarantine.CrashCount(kHarmless) == 0u);
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerLiftsAQuarantine) {
-  Quarantine quarantine(kLasts);
-  EndThree(&quarantine, kInnocent, kStart);
-  Time judged = kStart + seconds(3);
-  BOOST_TEST(quarantine.Evaluate(judged).size() == 1);
-  BOOST_TEST(quarantine.NoteAnswered(kInnocent, judged));
-  BOOST_TEST(!quarantine.RefusedFor(kInnocent, judged));
+BOOST_AUTO_TEST_CASE(AnAnswerEndsAQuarantine) {
+  Quarantine quarantine(kQuarantineDuration);
+  AddCrashes(&quarantine, kHarmless, kStart);
+  Time decided_at = kStart + seconds(3);
+  BOOST_TEST(quarantine.Evaluate(decided_at).size() == 1);
+  BOOST_TEST(quarantine.NoteAnswered(kHarmless, decided_at));
+  BOOST_TEST(!quarantine.RefusedFor(kHarmless, decided_at));
   BOOST_TEST(quarantine.quarantined() == 0);
 }
 
-// What ran beside a content in quarantine has nothing to answer for.
-BOOST_AUTO_TEST_CASE(EnginesOfAContentInQuarantineCountAgainstNobodyElse) {
-  Quarantine quarantine(kLasts);
-  EndThree(&quarantine, kDeadly, kStart);
-  Time judged = kStart + seconds(3);
-  quarantine.Evaluate(judged);
-  for (EngineKey engine : {1, 2, 3}) quarantine.NoteCrash({kInnocent, engine}, judged);
-  BOOST_TEST(quarantine.UnexplainedCrashCount(kInnocent) == 0);
-  BOOST_TEST(quarantine.Evaluate(judged + seconds(1)).empty());
+// Contents that were running on the same engines as a content in quarantine are not suspected.
+BOOST_AUTO_TEST_CASE(CrashesOfAQuarantinedContentCountAgainstNoOther) {
+  Quarantine quarantine(kQuarantineDuration);
+  AddCrashes(&quarantine, kCrashing, kStart);
+  Time decided_at = kStart + seconds(3);
+  quarantine.Evaluate(decided_at);
+  for (EngineKey engine : {1, 2, 3}) quarantine.NoteCrash({kHarmless, engine}, decided_at);
+  BOOST_TEST(quarantine.UnexplainedCrashCount(kHarmless) == 0);
+  BOOST_TEST(quarantine.Evaluate(decided_at + seconds(1)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(ARivalThatIsAnsweredLeavesTheOther) {
-  Quarantine quarantine(kLasts);
-  EndThree(&quarantine, kDeadly, kStart);
-  EndThree(&quarantine, kInnocent, kStart);
-  Time settled = kStart + seconds(3);
-  BOOST_TEST(quarantine.Evaluate(settled).empty());
-  quarantine.NoteAnswered(kInnocent, settled);
-  std::vector<ContentId> guilty = quarantine.Evaluate(settled);
-  BOOST_TEST(guilty == std::vector<ContentId>{kDeadly}, boost::test_tools::per_element());
+BOOST_AUTO_TEST_CASE(AnAnswerToOneOfTwoContentsPutsTheOtherIntoQuarantine) {
+  Quarantine quarantine(kQuarantineDuration);
+  AddCrashes(&quarantine, kCrashing, kStart);
+  AddCrashes(&quarantine, kHarmless, kStart);
+  Time decided_at = kStart + seconds(3);
+  BOOST_TEST(quarantine.Evaluate(decided_at).empty());
+  quarantine.NoteAnswered(kHarmless, decided_at);
+  std::vector<ContentId> newly_quarantined = quarantine.Evaluate(decided_at);
+  BOOST_TEST(newly_quarantined == std::vector<ContentId>{kCrashing},
+             boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(AQuarantineEndsByItself) {
-  Quarantine quarantine(kLasts);
-  EndThree(&quarantine, kDeadly, kStart);
-  Time judged = kStart + seconds(3);
-  quarantine.Evaluate(judged);
-  BOOST_TEST((quarantine.RefusedFor(kDeadly, judged) == kLasts));
-  BOOST_TEST(!quarantine.RefusedFor(kDeadly, judged + kLasts));
-  quarantine.Tick(judged + kLasts);
+BOOST_AUTO_TEST_CASE(AQuarantineExpires) {
+  Quarantine quarantine(kQuarantineDuration);
+  AddCrashes(&quarantine, kCrashing, kStart);
+  Time decided_at = kStart + seconds(3);
+  quarantine.Evaluate(decided_at);
+  BOOST_TEST((quarantine.RefusedFor(kCrashing, decided_at) == kQuarantineDuration));
+  BOOST_TEST(!quarantine.RefusedFor(kCrashing, decided_at + kQuarantineDuration));
+  quarantine.Tick(decided_at + kQuarantineDuration);
   BOOST_TEST(quarantine.quarantined() == 0);
-  BOOST_TEST(!quarantine.HasRecordOf(kDeadly));
+  BOOST_TEST(!quarantine.HasRecordOf(kCrashing));
 }
 
-BOOST_AUTO_TEST_CASE(AnothersWordHoldsAsLongAsOwnAtMost) {
-  Quarantine quarantine(kLasts);
-  BOOST_TEST(quarantine.AdoptFromPeer(kDeadly, 10 * kLasts, kStart));
-  BOOST_TEST(!quarantine.AdoptFromPeer(kDeadly, kLasts, kStart));
-  BOOST_TEST((quarantine.RefusedFor(kDeadly, kStart) == kLasts));
+BOOST_AUTO_TEST_CASE(AQuarantineFromAPeerLastsNoLongerThanOneDecidedHere) {
+  Quarantine quarantine(kQuarantineDuration);
+  BOOST_TEST(quarantine.AdoptFromPeer(kCrashing, 10 * kQuarantineDuration, kStart));
+  BOOST_TEST(!quarantine.AdoptFromPeer(kCrashing, kQuarantineDuration, kStart));
+  BOOST_TEST((quarantine.RefusedFor(kCrashing, kStart) == kQuarantineDuration));
 }
 
-BOOST_AUTO_TEST_CASE(SuspicionFades) {
-  Quarantine quarantine(kLasts);
-  quarantine.NoteCrash({kInnocent, 1}, kStart);
+BOOST_AUTO_TEST_CASE(SuspicionExpires) {
+  Quarantine quarantine(kQuarantineDuration);
+  quarantine.NoteCrash({kHarmless, 1}, kStart);
   quarantine.Tick(kStart + Quarantine::kSuspicionLifetime - seconds(1));
   BOOST_TEST(quarantine.suspects() == 1);
   quarantine.Tick(kStart + Quarantine::kSuspicionLifetime);
   BOOST_TEST(quarantine.suspects() == 0);
 }
 
-// Those under which one engine has ended go first, and what goes is counted.
+// Contents with one crash are evicted first, and evictions are counted.
 BOOST_AUTO_TEST_CASE(MemoryIsBounded) {
-  Quarantine quarantine(kLasts);
-  quarantine.NoteCrash({kDeadly, 1}, kStart);
-  quarantine.NoteCrash({kDeadly, 2}, kStart + seconds(1));
+  Quarantine quarantine(kQuarantineDuration);
+  quarantine.NoteCrash({kCrashing, 1}, kStart);
+  quarantine.NoteCrash({kCrashing, 2}, kStart + seconds(1));
   for (ContentId i = 0; i < 3 * Quarantine::kMaxSuspects; ++i) {
     quarantine.NoteCrash({1000 + i, 3}, kStart + seconds(2));
   }
   BOOST_TEST(quarantine.suspects() <= Quarantine::kMaxSuspects);
   BOOST_TEST(quarantine.forgotten() >= 2 * Quarantine::kMaxSuspects);
-  BOOST_TEST(quarantine.UnexplainedCrashCount(kDeadly) == 2);
+  BOOST_TEST(quarantine.UnexplainedCrashCount(kCrashing) == 2);
   for (ContentId i = 0; i < 2 * Quarantine::kMaxQuarantined; ++i) {
-    quarantine.AdoptFromPeer(1'000'000 + i, kLasts, kStart + milliseconds(i));
+    quarantine.AdoptFromPeer(1'000'000 + i, kQuarantineDuration, kStart + milliseconds(i));
   }
   BOOST_TEST(quarantine.quarantined() == Quarantine::kMaxQuarantined);
-  // The latest are kept.
+  // The latest quarantines are kept.
   ContentId latest = 1'000'000 + 2 * Quarantine::kMaxQuarantined - 1;
   BOOST_TEST(quarantine.IsQuarantined(latest, kStart + seconds(3)));
 }
 
-// The slow obvious count: of each content the engines that ended under it, without those of
-// contents in quarantine, by looking at everything that was ever said.
-class SlowCount {
+// A simple reference: counts the engines that crashed under a content, without those that crashed
+// under a quarantined content, by scanning all reports.
+class ReferenceCount {
  public:
   void Note(const CrashReport& report) { this->engines[report.content].insert(report.engine); }
   void Answered(ContentId content) { this->engines.erase(content); }
 
   size_t Unexplained(ContentId content, const std::vector<ContentId>& quarantined) const {
     std::set<EngineKey> explained;
-    for (ContentId one : quarantined) {
-      auto found = this->engines.find(one);
+    for (ContentId other : quarantined) {
+      auto found = this->engines.find(other);
       if (found != this->engines.end())
         explained.insert(found->second.begin(), found->second.end());
     }
@@ -259,41 +265,42 @@
   std::map<ContentId, std::set<EngineKey>> engines;
 };
 
-BOOST_AUTO_TEST_CASE(CountsAreThoseOfTheSlowCount) {
+BOOST_AUTO_TEST_CASE(CrashCountsMatchTheReference) {
   constexpr ContentId kContents = 12;
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
-    Quarantine quarantine(kLasts);
-    SlowCount slow;
+    Quarantine quarantine(kQuarantineDuration);
+    ReferenceCount reference;
     Time now = kStart;
     for (int step = 0; step < 300; ++step) {
-      // Far enough apart that words after an answer count.
+      // Far enough apart that reports after an answer count.
       now += seconds(3);
       ContentId content = random() % kContents;
       if (random() % 12 == 0) {
         quarantine.NoteAnswered(content, now);
-        slow.Answered(content);
+        reference.Answered(content);
       } else {
         CrashReport report{content, random() % 25};
         quarantine.NoteCrash(report, now);
-        slow.Note(report);
+        reference.Note(report);
       }
       quarantine.Evaluate(now + seconds(1));
       std::vector<ContentId> quarantined = quarantine.Quarantined(now);
-      for (ContentId one = 0; one < kContents; ++one) {
-        bool is_in = quarantine.IsQuarantined(one, now);
-        if (is_in) continue;
-        BOOST_REQUIRE(quarantine.UnexplainedCrashCount(one) == slow.Unexplained(one, quarantined));
+      for (ContentId other = 0; other < kContents; ++other) {
+        bool is_quarantined = quarantine.IsQuarantined(other, now);
+        if (is_quarantined) continue;
+        BOOST_REQUIRE(quarantine.UnexplainedCrashCount(other) ==
+                      reference.Unexplained(other, quarantined));
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(NewsGoesOnceAndWhatIsInQuarantineFirst) {
+BOOST_AUTO_TEST_CASE(GossipIsSentOnceAndQuarantinesGoFirst) {
   CrashGossipQueue queue;
   for (uint64_t i = 0; i < CrashGossipQueue::kMaxBatchItems; ++i) queue.AddCrash({i, 1});
   queue.AddAnswered(5);
-  queue.AddQuarantined({6, kLasts});
+  queue.AddQuarantined({6, kQuarantineDuration});
   CrashGossip first = queue.TakeBatch();
   BOOST_TEST(first.quarantined.size() == 1);
   BOOST_TEST(first.answered.size() == 1);
@@ -302,32 +309,32 @@
   BOOST_TEST(queue.TakeBatch().empty());
 }
 
-BOOST_AUTO_TEST_CASE(NewsThatDoesNotFitIsCounted) {
+BOOST_AUTO_TEST_CASE(DroppedGossipIsCounted) {
   CrashGossipQueue queue;
   for (uint64_t i = 0; i < CrashGossipQueue::kMaxQueued + 10; ++i) queue.AddCrash({i, 1});
   BOOST_TEST(queue.dropped() == 10);
 }
 
-BOOST_AUTO_TEST_CASE(WhoeverReportsWhatIsInQuarantineIsToldSo) {
-  SharedQuarantine knows("box-1", kLasts, {});
-  SharedQuarantine does_not("box-2", kLasts, {});
-  knows.AdoptFromPeer({kDeadly, kLasts}, "store", kStart);
-  does_not.NoteCrash({kDeadly, 1}, kStart);
-  CrashGossip reply = knows.Receive("box-2", does_not.TakeGossip(), kStart);
+BOOST_AUTO_TEST_CASE(APeerThatReportsAQuarantinedContentReceivesTheQuarantine) {
+  SharedQuarantine informed("box-1", kQuarantineDuration, {});
+  SharedQuarantine uninformed("box-2", kQuarantineDuration, {});
+  informed.AdoptFromPeer({kCrashing, kQuarantineDuration}, "store", kStart);
+  uninformed.NoteCrash({kCrashing, 1}, kStart);
+  CrashGossip reply = informed.Receive("box-2", uninformed.TakeGossip(), kStart);
   BOOST_TEST(reply.quarantined.size() == 1);
-  does_not.Receive("box-1", reply, kStart);
-  BOOST_TEST(does_not.contents().IsQuarantined(kDeadly, kStart));
-  // What is known is told no further.
-  BOOST_TEST(knows.Receive("box-2", {{{kDeadly, 1}}, {}, {}}, kStart).empty());
+  uninformed.Receive("box-1", reply, kStart);
+  BOOST_TEST(uninformed.contents().IsQuarantined(kCrashing, kStart));
+  // A crash that is already recorded gets no reply.
+  BOOST_TEST(informed.Receive("box-2", {{{kCrashing, 1}}, {}, {}}, kStart).empty());
 }
 
-// Two gateways that tell each other come to rest.
-BOOST_AUTO_TEST_CASE(NewsComesToRest) {
-  SharedQuarantine left("box-1", kLasts, {});
-  SharedQuarantine right("box-2", kLasts, {});
-  for (EngineKey engine : {1, 2}) left.NoteCrash({kInnocent, engine}, kStart);
-  right.NoteCrash({kInnocent, 3}, kStart);
-  right.NoteAnswered(kInnocent, kStart);
+// Two gateways that pass reports to each other must stop when both have all of them.
+BOOST_AUTO_TEST_CASE(GossipBetweenTwoGatewaysEnds) {
+  SharedQuarantine left("box-1", kQuarantineDuration, {});
+  SharedQuarantine right("box-2", kQuarantineDuration, {});
+  for (EngineKey engine : {1, 2}) left.NoteCrash({kHarmless, engine}, kStart);
+  right.NoteCrash({kHarmless, 3}, kStart);
+  right.NoteAnswered(kHarmless, kStart);
   int rounds = 0;
   for (; rounds < 10; ++rounds) {
     CrashGossip to_right = left.TakeGossip();
@@ -339,7 +346,7 @@
   BOOST_TEST(rounds < 4);
 }
 
-BOOST_AUTO_TEST_CASE(NewsSurvivesTheWire) {
+BOOST_AUTO_TEST_CASE(GossipIsDecodedAsEncoded) {
   LoadDigest digest;
   digest.box = "box-1";
   digest.crash_gossip.crashes = {{1, 2}, {3, 4}};
@@ -350,7 +357,7 @@
   BOOST_TEST((*decoded == digest));
 }
 
-BOOST_AUTO_TEST_CASE(EntriesOfTheStore) {
+BOOST_AUTO_TEST_CASE(StoreKeysAndEntries) {
   QuarantineEntry entry{1'764'720'000'123, "box-1", 3};
   BOOST_TEST((DecodeQuarantineEntry(EncodeQuarantineEntry(entry)) == entry));
   BOOST_TEST(!DecodeQuarantineEntry("").has_value());
@@ -363,10 +370,10 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ContentsDifferInEachOfTheirParts) {
-  RequestContent one{"shop", "POST", "/chat/x", "hello"};
-  std::set<ContentId> seen{ContentOf(one)};
-  BOOST_TEST(seen.count(ContentOf(one)) == 1);
+BOOST_AUTO_TEST_CASE(EveryPartOfARequestChangesItsContentId) {
+  RequestContent request{"shop", "POST", "/chat/x", "hello"};
+  std::set<ContentId> seen{ContentOf(request)};
+  BOOST_TEST(seen.count(ContentOf(request)) == 1);
   for (RequestContent other : {RequestContent{"mill", "POST", "/chat/x", "hello"},
                                RequestContent{"shop", "PUT", "/chat/x", "hello"},
                                RequestContent{"shop", "POST", "/chat/xh", "ello"},
--- a/src/serving/testing/serving_test.cc
+++ b/src/serving/testing/serving_test.cc
@@ -1,4 +1,5 @@
-// The decisions of src/serving: tables, and comparisons with slow obvious versions.
+// Tests of the decisions in src/serving: tables of cases, and comparisons with simple, slow
+// reference versions.
 
 #define BOOST_TEST_MODULE serving
 #include <boost/test/unit_test.hpp>
@@ -28,26 +29,30 @@
   AttemptResult result;
 };
 
-BOOST_AUTO_TEST_CASE(AnswersAreTakenForWhatTheyProve) {
+BOOST_AUTO_TEST_CASE(AnswersAreClassifiedByWhatTheyProve) {
   const ClassifyRow table[] = {
       {"sealed success", {200, true, false, false}, AttemptResult::kSuccess},
       {"unsealed success", {200, false, false, false}, AttemptResult::kUnknown},
       {"encoded success", {200, true, false, true}, AttemptResult::kUnknown},
       {"says not run", {503, false, true, false}, AttemptResult::kNotRun},
-      {"503 without a word", {503, true, false, false}, AttemptResult::kUnknown},
-      {"429 without a word", {429, false, false, false}, AttemptResult::kUnknown},
-      {"another engine", {421, false, false, false}, AttemptResult::kWrongEngine},
-      {"its own failure", {500, true, false, false}, AttemptResult::kEngineFailure},
-      {"turned down", {404, true, false, false}, AttemptResult::kRejected},
-      {"sent elsewhere", {302, true, false, false}, AttemptResult::kRejected},
+      {"503 without a statement that it was not run",
+       {503, true, false, false},
+       AttemptResult::kUnknown},
+      {"429 without a statement that it was not run",
+       {429, false, false, false},
+       AttemptResult::kUnknown},
+      {"answered by another engine", {421, false, false, false}, AttemptResult::kWrongEngine},
+      {"failure of the engine", {500, true, false, false}, AttemptResult::kEngineFailure},
+      {"rejected", {404, true, false, false}, AttemptResult::kRejected},
+      {"redirected", {302, true, false, false}, AttemptResult::kRejected},
   };
   for (const ClassifyRow& row : table) {
     BOOST_TEST_CONTEXT(row.what) { BOOST_TEST((Classify(row.facts) == row.result)); }
   }
 }
 
-// Every combination of a request's state with every result keeps the promises.
-BOOST_AUTO_TEST_CASE(NoDecisionBreaksAPromise) {
+// Checks the guarantees for every combination of a request's state and an attempt's result.
+BOOST_AUTO_TEST_CASE(EveryDecisionKeepsTheGuarantees) {
   const AttemptResult results[] = {AttemptResult::kSuccess,     AttemptResult::kEngineFailure,
                                    AttemptResult::kRejected,    AttemptResult::kNotRun,
                                    AttemptResult::kWrongEngine, AttemptResult::kUnknown};
@@ -67,14 +72,14 @@
           if (!not_run) state.may_have_run = true;
           NextStep step = DecideNext(result, state);
           NextStep rest = WithoutRetry(result, state);
-          // What may have run and must not twice is never tried again.
+          // A request that may have run and must not run twice is never retried.
           bool ran = state.may_have_run && repeat == Repeat::kNever;
           if (ran && !not_run) BOOST_TEST((step != NextStep::kRetry));
           if (ran) BOOST_TEST((step != NextStep::kRefuse && rest != NextStep::kRefuse));
           if (!state.time_left) BOOST_TEST((step != NextStep::kRetry));
           if (attempts >= kMostAttempts) BOOST_TEST((step != NextStep::kRetry));
           BOOST_TEST((rest != NextStep::kRetry));
-          // A begun answer is never followed by another head.
+          // After an answer has begun, no second response head is sent.
           bool new_head = rest == NextStep::kRefuse || rest == NextStep::kFail;
           if (state.answer_begun) BOOST_TEST(!new_head);
           if (state.answer_begun && repeat != Repeat::kResumeStream && !not_run &&
@@ -88,9 +93,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(RetriesStayUnderTheSharedBoundInEveryWindow) {
-  // Ten processes, random traffic, retries taken greedily; the bound is checked on
-  // every window by counting everything again.
+BOOST_AUTO_TEST_CASE(RetriesStayWithinTheSharedBoundInEveryWindow) {
+  // Ten processes with random traffic take every retry they can.  The bound is checked for every
+  // window that ends with a retry, by counting all requests and retries in it.
   const RetryBounds bounds{seconds(10), 0.2, 106};
   constexpr int kProcesses = 10;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -121,9 +126,9 @@
   }
 }
 
-// Seen on the bench (BUDGET on kprc-catalogue-grown): 28 processes, each with the
-// share of ten.
-BOOST_AUTO_TEST_CASE(TheSlackIsDividedAmongTheProcessesThereAre) {
+// Guards against a slack that is divided by a fixed number of processes: 28 processes that each
+// took a tenth of the slack exceeded the bound together.
+BOOST_AUTO_TEST_CASE(TheSlackIsDividedByTheNumberOfProcesses) {
   RetryBucket window(RetryBounds{seconds(10), 0.2, 132});
   auto left = [&](size_t processes) {
     window.SetProcesses(processes);
@@ -133,7 +138,7 @@
   BOOST_TEST(left(5) > left(28));
 }
 
-WholeEvents SlowSplit(const std::string& text) {
+WholeEvents ReferenceSplit(const std::string& text) {
   WholeEvents events;
   size_t done = 0;
   for (size_t end = text.find("\n\n"); end != std::string::npos; end = text.find("\n\n", end + 2)) {
@@ -149,7 +154,7 @@
   return events;
 }
 
-BOOST_AUTO_TEST_CASE(EventsAreCutAlikeWhereverTheBytesAreCut) {
+BOOST_AUTO_TEST_CASE(EventsDoNotDependOnWhereTheBytesAreSplit) {
   const std::string text = "id: 1\ndata: a\n\ndata: b\n\nid: 17\ndata: c\ndata: d\n\nid: 18\nda";
   for (size_t first = 0; first <= text.size(); ++first) {
     for (size_t second = first; second <= text.size(); ++second) {
@@ -162,7 +167,7 @@
         all.count += some.count;
         if (some.last_id) all.last_id = some.last_id;
       }
-      BOOST_REQUIRE((all == SlowSplit(text)));
+      BOOST_REQUIRE((all == ReferenceSplit(text)));
       BOOST_REQUIRE(splitter.has_rest());
     }
   }
@@ -170,8 +175,8 @@
   BOOST_TEST(splitter.Feed("id: 3\r\ndata: x\r\n\r\n").last_id.value_or("") == "3");
 }
 
-const Route* SlowFindRoute(const ServingConfig& config, const std::string& host,
-                           const std::string& path) {
+const Route* ReferenceFindRoute(const ServingConfig& config, const std::string& host,
+                                const std::string& path) {
   const Route* best = nullptr;
   for (const Route& route : config.routes) {
     bool fits =
@@ -182,7 +187,7 @@
   return best;
 }
 
-BOOST_AUTO_TEST_CASE(RoutesAreFoundAsByTryingEachOfThem) {
+BOOST_AUTO_TEST_CASE(RouteLookupAgreesWithALinearSearch) {
   std::mt19937_64 random(7);
   const char* names[] = {"a", "b", "ab", "c"};
   ServingConfig config;
@@ -206,9 +211,9 @@
     for (uint64_t depth = random() % 5; depth > 0; --depth) {
       path += std::string(names[random() % 4]) + (random() % 5 == 0 ? "" : "/");
     }
-    const Route* slow = SlowFindRoute(index.config(), host, path);
-    BOOST_REQUIRE((index.FindRoute(host, path) == slow));
-    BOOST_REQUIRE((index.FindRoute(host + ":8080", path) == slow));
+    const Route* expected = ReferenceFindRoute(index.config(), host, path);
+    BOOST_REQUIRE((index.FindRoute(host, path) == expected));
+    BOOST_REQUIRE((index.FindRoute(host + ":8080", path) == expected));
   }
 }
 
@@ -221,7 +226,7 @@
   return record;
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineThatLeftIsNotUsedAndALapsedOneIsKeptForAWhile) {
+BOOST_AUTO_TEST_CASE(EnginesThatLeaveAreRemovedAndLapsedOnesAreKeptForATime) {
   EngineDirectory directory;
   directory.Update(Engine("a"));
   directory.Update(Engine("b", /*draining=*/true));
@@ -231,23 +236,23 @@
   const Time long_ago = kStart - seconds(60);
   directory.Remove("a", kStart, EngineDirectory::KeepUntil(long_ago));
   BOOST_TEST(directory.Usable("pool", kStart).size() == 1u);
-  // c's entry lapsed while the list was away: it is kept, but not for ever.
+  // c's entry expired while the list was unavailable: c is kept for kLapseGrace only.
   directory.Remove("c", kStart, EngineDirectory::KeepUntil(kStart));
   BOOST_TEST(directory.Usable("pool", kStart).size() == 1u);
   BOOST_TEST(directory.Usable("pool", kStart + EngineDirectory::kLapseGrace).empty());
-  // What said that it leaves is not kept.
+  // b was draining, so it is not kept.
   directory.Remove("b", kStart, EngineDirectory::KeepUntil(kStart));
   BOOST_TEST(directory.size() == 0u);
-  // One that is back in time stays.
+  // e is listed again in time and stays.
   directory.Replace({Engine("d"), Engine("e")}, kStart, long_ago);
   directory.Replace({Engine("d")}, kStart, EngineDirectory::KeepUntil(kStart));
   directory.Update(Engine("e"));
   BOOST_TEST(directory.Usable("pool", kStart + seconds(10)).size() == 2u);
 }
 
-// Seen on the bench (DRAIN, berkapu-hq hunt-126e-3): the list came back, a second
-// later an engine really left, and it was kept for 1.9 s more.
-BOOST_AUTO_TEST_CASE(ALapsedEngineIsKeptFromTheListsReturnNotFromItsRemoval) {
+// Guards against a grace time that starts at an engine's removal instead of the list's return: an
+// engine that left one second after the list came back was kept for another 1.9 s.
+BOOST_AUTO_TEST_CASE(TheGraceTimeStartsWhenTheListReturns) {
   EngineDirectory directory;
   directory.Update(Engine("a"));
   Time removed = kStart + milliseconds(1040);
@@ -256,7 +261,7 @@
   BOOST_TEST(directory.Usable("pool", removed + milliseconds(500)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(AFailingEngineIsSetAsideAndItsRecordFades) {
+BOOST_AUTO_TEST_CASE(AFailingEngineIsSetAsideAndItsFailureRateDecays) {
   EngineHealth health;
   health.AddFailure(kStart);
   BOOST_TEST(!health.IsOut(kStart));
@@ -276,7 +281,7 @@
   BOOST_TEST(unreachable.IsOut(kStart));
 }
 
-BOOST_AUTO_TEST_CASE(SilenceIsBorneAsLongAsItIsExpectedOrExplained) {
+BOOST_AUTO_TEST_CASE(SilenceIsAcceptedWhileTheLoadExplainsIt) {
   BOOST_TEST((PatienceWith(100) == kLeastPatience));
   BOOST_TEST((PatienceWith(1000) == milliseconds(3000)));
   struct Case {
@@ -284,27 +289,27 @@
     int requests;
     double reading_ms;
     Duration silent;
-    bool excused;
+    bool is_explained;
   };
   const std::vector<Case> cases = {
-      {"nothing to do", 1, 0, milliseconds(950), false},
+      {"no work", 1, 0, milliseconds(950), false},
       {"a prompt to read", 1, 700, milliseconds(1000), true},
-      {"it should have been read by now", 1, 700, milliseconds(1100), false},
+      {"a prompt that should have been read by now", 1, 700, milliseconds(1100), false},
       {"more requests than slots", 9, 0, milliseconds(1000), true},
       {"all slots taken", 8, 0, milliseconds(1000), false},
-      {"callers leave", 9, 5000, kLongestPatience, false},
+      {"a load that explains it, but at the maximum timeout", 9, 5000, kLongestPatience, false},
   };
-  for (const Case& one : cases) {
+  for (const Case& test_case : cases) {
     EngineLoad load;
-    load.requests = one.requests;
-    load.reading_ms = one.reading_ms;
-    BOOST_TEST_CONTEXT(one.what) {
-      BOOST_TEST(ExcusesSilence(load, /*slots=*/8, one.silent) == one.excused);
+    load.requests = test_case.requests;
+    load.reading_ms = test_case.reading_ms;
+    BOOST_TEST_CONTEXT(test_case.what) {
+      BOOST_TEST(ExcusesSilence(load, /*slots=*/8, test_case.silent) == test_case.is_explained);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(AFirstEventThatWouldBeLateElsewhereTooIsWaitedForLonger) {
+BOOST_AUTO_TEST_CASE(TheFirstEventTimeoutIsLongerIfASecondEngineWouldBeLateToo) {
   struct Case {
     const char* what;
     double expected_ms;
@@ -312,48 +317,51 @@
     Duration patience;
   };
   const std::vector<Case> cases = {
-      {"a short: the usual time is longer anyway", 100, 300, milliseconds(900)},
+      {"a short request: the usual timeout is longer", 100, 300, milliseconds(900)},
       {"a second engine could be in time", 300, 1500, milliseconds(900)},
-      {"just in time", 750, 3000, milliseconds(2250)},
-      {"just not", 760, 3000, milliseconds(6000)},
-      {"far from it", 1500, 3000, milliseconds(6000)},
-      {"expected so late that the usual time is longest", 3000, 3000, milliseconds(9000)},
+      {"a second engine would be just in time", 750, 3000, milliseconds(2250)},
+      {"a second engine would be just too late", 760, 3000, milliseconds(6000)},
+      {"a second engine would be far too late", 1500, 3000, milliseconds(6000)},
+      {"expected so late that the usual timeout is longest", 3000, 3000, milliseconds(9000)},
       {"no objective", 1000, 0, milliseconds(3000)},
   };
-  for (const Case& one : cases) {
-    BOOST_TEST_CONTEXT(one.what) {
-      BOOST_TEST((PatienceForFirst(one.expected_ms, one.objective_ms) == one.patience));
+  for (const Case& test_case : cases) {
+    BOOST_TEST_CONTEXT(test_case.what) {
+      BOOST_TEST(
+          (PatienceForFirst(test_case.expected_ms, test_case.objective_ms) == test_case.patience));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(TwoPeersWordsSetAnEngineAside) {
+BOOST_AUTO_TEST_CASE(AnEngineIsSuspectedAfterReportsOfTwoPeers) {
   struct Case {
     std::string name;
-    // What each peer has set aside, in the order in which they say it.
-    std::vector<std::pair<std::string, std::set<std::string>>> words;
-    bool suspected;
+    // The engines that each peer has set aside, in the order of the reports.
+    std::vector<std::pair<std::string, std::set<std::string>>> reports;
+    bool is_suspected;
   };
   const std::vector<Case> cases = {
-      {"nobody", {}, false},
+      {"no peer", {}, false},
       {"one peer", {{"a", {"e"}}}, false},
       {"one peer twice", {{"a", {"e"}}, {"a", {"e"}}}, false},
       {"two peers", {{"a", {"e"}}, {"b", {"e"}}}, true},
-      {"the first has taken it back", {{"a", {"e"}}, {"a", {}}, {"b", {"e"}}}, false},
-      {"one is in trouble itself", {{"a", {"e", "f", "g", "h"}}, {"b", {"e"}}}, false},
+      {"the first peer has withdrawn its report", {{"a", {"e"}}, {"a", {}}, {"b", {"e"}}}, false},
+      {"one peer has set aside too many engines",
+       {{"a", {"e", "f", "g", "h"}}, {"b", {"e"}}},
+       false},
       {"another engine", {{"a", {"f"}}, {"b", {"f"}}}, false},
   };
-  for (const Case& one : cases) {
+  for (const Case& test_case : cases) {
     PeerSuspicion suspicion("us");
-    for (const auto& [peer, engines] : one.words)
+    for (const auto& [peer, engines] : test_case.reports)
       suspicion.ReceiveSetAside(peer, engines, 12, kStart);
-    BOOST_TEST_CONTEXT(one.name) {
-      BOOST_TEST(suspicion.IsSuspected("e", kStart) == one.suspected);
+    BOOST_TEST_CONTEXT(test_case.name) {
+      BOOST_TEST(suspicion.IsSuspected("e", kStart) == test_case.is_suspected);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(BelieversComeBackOneAfterTheOther) {
+BOOST_AUTO_TEST_CASE(GatewaysReturnToASuspectedEngineOneAfterAnother) {
   std::set<Duration> returns;
   for (int box = 0; box < 28; ++box) {
     PeerSuspicion suspicion("box-" + std::to_string(box));
@@ -381,17 +389,17 @@
   BOOST_TEST(fleet.Choose(service, {}, {}, kStart)->engine.id != first);
   fleet.HealthOf(first).AddSuccess(kStart);
   BOOST_TEST(fleet.Choose(service, {}, {}, kStart)->engine.id == first);
-  // One failure of our own is enough then.
+  // After two reports, one own failure is enough to set the engine aside.
   fleet.NoteFailure(first, /*unreachable=*/false, kStart);
   BOOST_TEST((fleet.SetAside(kStart) == std::set<std::string>{first}));
-  // A process that finds most engines dead says nothing of them.
+  // A gateway for which most engines fail reports none of them.
   for (int i = 0; i < 12; ++i) fleet.NoteFailure("e" + std::to_string(i), true, kStart);
   BOOST_TEST(fleet.SetAside(kStart).empty());
 }
 
-// Twelve engines: e0 could not be reached once, the others run forty requests each.
-// Whether a request gets e0, and what one failure of e1 does once two peers have
-// named it, with each switch.
+// Twelve engines: e0 was unreachable once, and the others run forty requests each.  Checks with
+// each switch whether a request is sent to e0, and whether one failure of e1 sets it aside after
+// two peers have reported it.
 BOOST_AUTO_TEST_CASE(EachSetAsideCanBeSwitchedOffAlone) {
   struct Case {
     std::string name;
@@ -406,10 +414,10 @@
   const std::vector<Case> cases = {
       {"all on", {}, false, {"e0", "e1"}},
       {"own set-aside off", no_own, true, {"e0", "e1"}},
-      {"peers' words off", no_peers, false, {"e0"}},
+      {"peer set-aside off", no_peers, false, {"e0"}},
   };
-  for (const Case& one : cases) {
-    Fleet fleet({}, "us", "hall", one.mechanisms);
+  for (const Case& test_case : cases) {
+    Fleet fleet({}, "us", "hall", test_case.mechanisms);
     uint64_t work = 0;
     for (int i = 0; i < 12; ++i) {
       std::string id = "e" + std::to_string(i);
@@ -419,17 +427,17 @@
     fleet.NoteFailure("e0", /*unreachable=*/true, kStart);
     Service service;
     service.name = "apps";
-    BOOST_TEST_CONTEXT(one.name) {
-      BOOST_TEST((fleet.Choose(service, {}, {}, kStart)->engine.id == "e0") == one.gets_e0);
+    BOOST_TEST_CONTEXT(test_case.name) {
+      BOOST_TEST((fleet.Choose(service, {}, {}, kStart)->engine.id == "e0") == test_case.gets_e0);
       for (const char* peer : {"a", "b"}) fleet.HearSetAside(peer, {"e1"}, kStart);
       fleet.NoteFailure("e1", /*unreachable=*/false, kStart);
-      BOOST_TEST((fleet.SetAside(kStart) == one.set_aside_after_named));
+      BOOST_TEST((fleet.SetAside(kStart) == test_case.set_aside_after_named));
     }
   }
 }
 
-// Five gateways see the same changes; what one writes, the others hear 2 ms later.
-BOOST_AUTO_TEST_CASE(AListIsCopiedAfterEachChangeByAboutOneOfMany) {
+// Five gateways see the same changes, and each receives the version of a write at once.
+BOOST_AUTO_TEST_CASE(AfterEachChangeAboutOneGatewayWritesTheCopy) {
   constexpr int kGateways = 5;
   constexpr int kChanges = 40;
   std::vector<CopySchedule> schedules;
@@ -446,11 +454,12 @@
         if (!schedule.IsDue(now)) continue;
         schedule.NoteWritten(now);
         writes += 1;
-        const CopyVersion mark = schedule.copy();
-        for (CopySchedule& other : schedules) other.NoteCopy(mark, now);
+        const CopyVersion version = schedule.copy();
+        for (CopySchedule& other : schedules) other.NoteCopy(version, now);
       }
     }
-    for (const CopySchedule& schedule : schedules) BOOST_TEST(schedule.copy().fingerprint == content);
+    for (const CopySchedule& schedule : schedules)
+      BOOST_TEST(schedule.copy().fingerprint == content);
   }
   BOOST_TEST(writes >= kChanges);
   BOOST_TEST(writes <= kChanges + kChanges / 4);
@@ -474,7 +483,7 @@
   BOOST_TEST(!schedule.IsDue(next_due + seconds(60)));
 }
 
-BOOST_AUTO_TEST_CASE(AnOldWordOnTheCopyReplacesNoNewerOne) {
+BOOST_AUTO_TEST_CASE(AnOlderCopyVersionDoesNotReplaceANewerOne) {
   CopySchedule schedule(1);
   schedule.NoteCopy({5, 50}, kStart);
   schedule.NoteCopy({4, 40}, kStart);
@@ -483,16 +492,16 @@
   BOOST_TEST(schedule.copy().fingerprint == 60u);
 }
 
-// Engines come and go twice a second, each gateway reads of it at a moment of its own, and
-// words on the copy take up to half a second and pass on what was heard before.
-BOOST_AUTO_TEST_CASE(AListThatNeverRestsIsCopiedOnceInTheUsualPause) {
+// The list changes twice a second.  Each gateway reads it at times of its own and sends the
+// version of the copy every quarter to half a second, which may be a version that it received.
+BOOST_AUTO_TEST_CASE(AListThatAlwaysChangesIsCopiedAboutOncePerPause) {
   const Duration time = seconds(60);
   for (size_t gateways : {5, 30, 100}) {
     std::mt19937_64 random(gateways);
     auto within = [&](int ms) { return milliseconds(random() % static_cast<uint64_t>(ms)); };
     std::vector<CopySchedule> schedules;
-    std::vector<Time> tells(gateways, kStart);
-    std::vector<Time> reads(gateways, kStart);
+    std::vector<Time> next_send(gateways, kStart);
+    std::vector<Time> next_read(gateways, kStart);
     for (size_t i = 0; i < gateways; ++i) {
       schedules.emplace_back(i + 1);
       schedules.back().SetGateways(gateways);
@@ -501,18 +510,18 @@
     for (Time now = kStart; now < kStart + time; now += milliseconds(10)) {
       uint64_t list = 1 + static_cast<uint64_t>(ToSeconds(now - kStart) * 2);
       for (size_t i = 0; i < gateways; ++i) {
-        if (now >= reads[i]) {
+        if (now >= next_read[i]) {
           schedules[i].NoteList(list, now);
-          reads[i] = now + milliseconds(500) + within(1000);
+          next_read[i] = now + milliseconds(500) + within(1000);
         }
         if (schedules[i].IsDue(now)) {
           schedules[i].NoteWritten(now);
           writes += 1;
         }
-        if (now < tells[i]) continue;
-        tells[i] = now + milliseconds(250) + within(250);
-        const CopyVersion mark = schedules[i].copy();
-        for (CopySchedule& other : schedules) other.NoteCopy(mark, now);
+        if (now < next_send[i]) continue;
+        next_send[i] = now + milliseconds(250) + within(250);
+        const CopyVersion version = schedules[i].copy();
+        for (CopySchedule& other : schedules) other.NoteCopy(version, now);
       }
     }
     double pauses = ToSeconds(time) / ToSeconds(CopySchedule::kMinPause);
@@ -521,77 +530,78 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(KeysAreTrustedFromTheSendingOfTheRead) {
+BOOST_AUTO_TEST_CASE(KeysAreTrustedFromTheTimeTheReadWasSent) {
   KeyFreshness freshness(seconds(5));
   BOOST_TEST(!freshness.IsFresh(kStart));
   freshness.Confirm(kStart);
   BOOST_TEST(freshness.IsFresh(kStart + seconds(4)));
   BOOST_TEST(!freshness.IsFresh(kStart + seconds(5)));
-  // An older read that comes back later proves nothing new.
+  // An older read that is answered later does not shorten the trust.
   freshness.Confirm(kStart - seconds(1));
   BOOST_TEST(freshness.IsFresh(kStart + seconds(4)));
 }
 
-BOOST_AUTO_TEST_CASE(KeysHoldUntilChangedWhereTakingThemAwayIsNotBounded) {
+BOOST_AUTO_TEST_CASE(KeysStayValidUntilChangedIfRevocationIsNotBounded) {
   KeyFreshness freshness(seconds(5), KeyTrust::kUntilChanged);
-  // Nothing has been read yet: there are no keys to vouch for.
+  // Nothing has been read yet, so there are no keys to accept.
   BOOST_TEST(!freshness.IsFresh(kStart));
   freshness.Confirm(kStart);
   BOOST_TEST(freshness.IsFresh(kStart + seconds(5)));
   BOOST_TEST(freshness.IsFresh(kStart + seconds(3600)));
 }
 
-// Processes that hear of each other's proofs after `delay`, or never.
-struct ProofRun {
-  int proofs = 0;
-  Duration oldest{};
+// The number of validations in a run, and the greatest age of a process's last validation.
+struct RevalidationRun {
+  int validations = 0;
+  Duration max_age{};
 };
 
-ProofRun RunSchedules(int processes, std::optional<Duration> delay) {
+// Runs processes that receive each other's validations after `delay`, or never if it is empty.
+RevalidationRun RunSchedules(int processes, std::optional<Duration> delay) {
   const Duration trust = seconds(5);
   std::vector<RevalidationSchedule> schedules;
   for (int i = 0; i < processes; ++i) schedules.emplace_back(trust, 100 + i);
-  std::vector<Time> proved(schedules.size(), kStart);
-  std::vector<std::pair<Time, Time>> told;  // When it is heard, and what it proves.
-  ProofRun run;
+  std::vector<Time> validated_at(schedules.size(), kStart);
+  std::vector<std::pair<Time, Time>> sent_validations;  // Arrival and time.
+  RevalidationRun run;
   for (Time now = kStart; now < kStart + seconds(60); now += milliseconds(5)) {
-    for (const auto& [heard_at, proof] : told) {
-      if (heard_at > now) continue;
-      for (Time& own : proved) own = std::max(own, proof);
+    for (const auto& [arrives_at, validation] : sent_validations) {
+      if (arrives_at > now) continue;
+      for (Time& own : validated_at) own = std::max(own, validation);
     }
     for (size_t i = 0; i < schedules.size(); ++i) {
-      run.oldest = std::max(run.oldest, now - proved[i]);
-      if (!schedules[i].IsDue(proved[i], now)) continue;
+      run.max_age = std::max(run.max_age, now - validated_at[i]);
+      if (!schedules[i].IsDue(validated_at[i], now)) continue;
       schedules[i].NoteRequested();
       schedules[i].NoteValidated();
-      proved[i] = now;
-      run.proofs += 1;
-      if (delay) told.emplace_back(now + *delay, now);
+      validated_at[i] = now;
+      run.validations += 1;
+      if (delay) sent_validations.emplace_back(now + *delay, now);
     }
   }
   return run;
 }
 
-BOOST_AUTO_TEST_CASE(OneProofServesTheFleetAndNobodyRunsOutOfTrust) {
+BOOST_AUTO_TEST_CASE(OneValidationServesTheFleetAndNoProcessLosesTrust) {
   struct Case {
     int processes;
     std::optional<Duration> delay;
-    int most_proofs;
+    int max_validations;
   };
-  // Alone a process asks every 1.5 to 3 seconds; together about one does in 1.5.
+  // A single process asks every 1.5 to 3 s.  Of many processes about one asks every 1.5 s.
   const std::vector<Case> cases = {{1, std::nullopt, 40},
                                    {28, milliseconds(5), 80},
                                    {28, milliseconds(50), 120},
                                    {28, std::nullopt, 28 * 40}};
-  for (const Case& one : cases) {
-    ProofRun run = RunSchedules(one.processes, one.delay);
-    BOOST_TEST(run.proofs >= 20);
-    BOOST_TEST(run.proofs <= one.most_proofs);
-    BOOST_TEST((run.oldest <= milliseconds(3010)));
+  for (const Case& test_case : cases) {
+    RevalidationRun run = RunSchedules(test_case.processes, test_case.delay);
+    BOOST_TEST(run.validations >= 20);
+    BOOST_TEST(run.validations <= test_case.max_validations);
+    BOOST_TEST((run.max_age <= milliseconds(3010)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(AfterNewsAProofIsAskedForAgainAfterAPause) {
+BOOST_AUTO_TEST_CASE(AfterANewerConfigurationTheStoreIsAskedAgainAfterAPause) {
   RevalidationSchedule schedule(seconds(5), 1);
   Time late = kStart + seconds(4);
   BOOST_TEST(schedule.IsDue(kStart, late));
@@ -602,19 +612,19 @@
   BOOST_TEST(schedule.IsDue(kStart, late + RevalidationSchedule::kNewerConfigPause));
 }
 
-BOOST_AUTO_TEST_CASE(PeersWorkIsCountedOnceAndForgottenWhenTheyFallSilent) {
+BOOST_AUTO_TEST_CASE(PeerLoadIsCountedOnceAndExpiresWhenThePeerIsSilent) {
   LoadBook book;
   EngineLoad three;
   three.requests = 3;
   book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
   BOOST_TEST(book.Of("e", kStart).requests == 3);
-  // Late and doubled datagrams change nothing.
+  // Late and duplicate datagrams change nothing.
   book.ApplyPeer("p", 1, 4, {{"e", EngineLoad{}}}, kStart);
   book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
   BOOST_TEST(book.Of("e", kStart).requests == 3);
   book.Begin(1, {{"e", 5000, 20, true, 200}}, kStart);
   BOOST_TEST(book.Of("e", kStart).requests == 4);
-  // A new life of the peer starts from nothing.
+  // The load of a new incarnation replaces all loads of the previous one.
   book.ApplyPeer("p", 2, 1, {{"f", three}}, kStart);
   BOOST_TEST(book.Of("e", kStart).requests == 1);
   BOOST_TEST(book.Of("f", kStart + LoadBook::kPeerSilence + milliseconds(1)).requests == 0);
@@ -622,13 +632,13 @@
   BOOST_TEST((book.Of("e", kStart) == EngineLoad{}));
 }
 
-BOOST_AUTO_TEST_CASE(PeersAreToldOfWhatWouldChangeTheirChoice) {
+BOOST_AUTO_TEST_CASE(PeersReceiveChangesThatAffectTheirPlacement) {
   struct Case {
     const char* change;
-    EngineLoad told;
+    EngineLoad sent;
     EngineLoad now;
-    bool news;
-    bool news_without_reading;
+    bool is_significant;
+    bool is_significant_without_reading;
   };
   EngineLoad reading;
   reading.requests = 2;
@@ -645,23 +655,24 @@
   EngineLoad none = reading;
   none.reading_ms = 0;
   const std::vector<Case> cases = {
-      {"nothing", reading, reading, false, false},
-      {"a request more", reading, one_more, true, true},
+      {"no change", reading, reading, false, false},
+      {"one more request", reading, one_more, true, true},
       {"a prompt was read", reading, writes, true, true},
-      {"a helper's share more", reading, helps, true, false},
-      {"a helper's share less", helps, reading, true, false},
-      {"the reading of a short more", reading, a_little, false, false},
-      {"the last reading done", reading, none, true, true},
+      {"one more share of a helper", reading, helps, true, false},
+      {"one less share of a helper", helps, reading, true, false},
+      {"one more short prompt to read", reading, a_little, false, false},
+      {"the last prompt was read", reading, none, true, true},
   };
-  for (const Case& one : cases) {
-    BOOST_TEST_CONTEXT(one.change) {
-      BOOST_TEST(IsNews(one.told, one.now) == one.news);
-      BOOST_TEST(IsNews(one.told, one.now, /*count_reading=*/false) == one.news_without_reading);
+  for (const Case& test_case : cases) {
+    BOOST_TEST_CONTEXT(test_case.change) {
+      BOOST_TEST(IsNews(test_case.sent, test_case.now) == test_case.is_significant);
+      BOOST_TEST(IsNews(test_case.sent, test_case.now, /*count_reading=*/false) ==
+                 test_case.is_significant_without_reading);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(AStreamThatIsLateHasNothingMoreToLose) {
+BOOST_AUTO_TEST_CASE(ALateStreamIsCountedAtTheLateStreamPause) {
   LoadBook book;
   book.Begin(1, {{"e", 5000, 30, true, 250}}, kStart);
   book.Begin(2, {{"e", 5000, 30, true, 250}}, kStart);
@@ -676,7 +687,7 @@
   BOOST_TEST((load.streams[1] == PauseClass{kPauseOfLateStreams, 1, 5000}));
 }
 
-BOOST_AUTO_TEST_CASE(OnlyTheOldestPromptIsBeingRead) {
+BOOST_AUTO_TEST_CASE(ReadingTimePassesForTheOldestPromptOnly) {
   LoadBook book;
   book.Begin(1, {{"e", 50'000, 300, true, 200}}, kStart);
   book.Begin(2, {{"e", 50'000, 300, true, 200}}, kStart);
@@ -686,8 +697,9 @@
   BOOST_TEST(book.Of("e", kStart).writers == 1);
 }
 
-// Notes with every kind of delay: what is proved is never later than the truth.
-BOOST_AUTO_TEST_CASE(APeersWordIsNeverTakenForYoungerThanItIs) {
+// With random delays of the notes, the validation time that a note proves must never be later than
+// the peer's real validation time.
+BOOST_AUTO_TEST_CASE(APeersValidationNeverLooksNewerThanItIs) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     PeerFreshness us(1);
@@ -697,26 +709,26 @@
       now += milliseconds(random() % 500);
       us.BeginRound(now);
       FreshnessNote ours = us.NoteFor("peer", 7, now, now);
-      now += milliseconds(random() % 3000);  // On its way, or in a frozen process.
+      now += milliseconds(random() % 3000);  // In the network or in a stopped process.
       if (random() % 4 != 0) peer.ReceiveNote("us", 1, ours, 7, now);
       now += milliseconds(random() % 700);
       peer.BeginRound(now);
-      Time truth = now - milliseconds(random() % 2000);
-      FreshnessNote theirs = peer.NoteFor("us", 7, truth, now);
+      Time real_time = now - milliseconds(random() % 2000);
+      FreshnessNote theirs = peer.NoteFor("us", 7, real_time, now);
       now += milliseconds(random() % 3000);
-      std::optional<Time> proved = us.ReceiveNote("peer", 2, theirs, 7, now);
-      if (proved) BOOST_REQUIRE((*proved <= truth));
+      std::optional<Time> validated_at = us.ReceiveNote("peer", 2, theirs, 7, now);
+      if (validated_at) BOOST_REQUIRE((*validated_at <= real_time));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(APeerProvesNothingOfAnotherVersionOrAnotherLife) {
+BOOST_AUTO_TEST_CASE(ANoteProvesNothingForANewerVersionOrAnotherIncarnation) {
   PeerFreshness us(1);
   us.BeginRound(kStart);
   FreshnessNote note{1, 7, milliseconds(100), 1, milliseconds(20), 1};
   BOOST_TEST(us.ReceiveNote("p", 2, note, 7, kStart).has_value());
   BOOST_TEST((*us.ReceiveNote("p", 2, note, 7, kStart) == kStart - milliseconds(80)));
-  // We are newer than the peer was: what it read then, we hold.
+  // With an own version above 7 the note still proves that no version above 7 existed then.
   BOOST_TEST(us.ReceiveNote("p", 2, note, 8, kStart).has_value());
   BOOST_TEST(!us.ReceiveNote("p", 2, note, 6, kStart).has_value());
   BOOST_TEST(us.newest_peer_version() == 7u);
--- a/src/serving/testing/store_epoch_test.cc
+++ b/src/serving/testing/store_epoch_test.cc
@@ -1,4 +1,5 @@
-// What is believed of the platform's store across its returns from older copies.
+// Tests of how the store's epochs are tracked when the store returns from a backup, and of the
+// engine list and the record of departed engines in this time.
 
 #define BOOST_TEST_MODULE store_epoch
 #include "serving/store_epoch.h"
@@ -25,19 +26,19 @@
 
 Time At(int ms) { return kStart + milliseconds(ms); }
 
-BOOST_AUTO_TEST_CASE(StandingOfAnswers) {
+BOOST_AUTO_TEST_CASE(StatusOfAnswers) {
   struct Answer {
     std::optional<uint64_t> epoch;
     int sent_ms;
     int came_ms;
-    AnswerStatus standing;
+    AnswerStatus status;
   };
-  struct Row {
+  struct Case {
     const char* name;
     std::vector<Answer> answers;
   };
-  const Row table[] = {
-      {"a store that tells none",
+  const Case cases[] = {
+      {"a store that reports no epoch",
        {{kNone, 0, 10, AnswerStatus::kCurrent}, {kNone, 5, 20, AnswerStatus::kCurrent}}},
       {"one return",
        {{4, 0, 10, AnswerStatus::kCurrent},
@@ -45,56 +46,57 @@
         {5, 40, 50, AnswerStatus::kCurrent}}},
       {"several returns at once",
        {{4, 0, 10, AnswerStatus::kCurrent}, {9, 20, 30, AnswerStatus::kReturned}}},
-      {"an older answer comes late",
+      {"an answer of an older epoch arrives late",
        {{4, 0, 10, AnswerStatus::kCurrent},
         {5, 20, 30, AnswerStatus::kReturned},
         {4, 15, 40, AnswerStatus::kOutdated},
         {5, 50, 60, AnswerStatus::kCurrent}}},
-      {"a higher one whose call is old",
+      {"a higher epoch in the answer to an old call",
        {{4, 0, 10, AnswerStatus::kCurrent},
         {5, 20, 30, AnswerStatus::kReturned},
         {6, 5, 40, AnswerStatus::kReturned}}},
-      {"a store that begins to tell",
+      {"a store that starts to report epochs",
        {{kNone, 0, 10, AnswerStatus::kCurrent}, {1, 20, 30, AnswerStatus::kReturned}}},
-      {"an answer without, sent before",
+      {"a late answer without an epoch",
        {{4, 0, 10, AnswerStatus::kCurrent}, {kNone, 5, 20, AnswerStatus::kOutdated}}},
-      {"a store that ceases to tell",
+      {"a store that stops reporting epochs",
        {{4, 0, 10, AnswerStatus::kCurrent},
         {kNone, 20, 30, AnswerStatus::kReturned},
         {kNone, 40, 50, AnswerStatus::kCurrent}}},
-      {"a store that counts anew",
+      {"a store that restarts its count",
        {{4, 0, 10, AnswerStatus::kCurrent}, {1, 20, 30, AnswerStatus::kReturned}}},
   };
-  for (const Row& row : table) {
+  for (const Case& test_case : cases) {
     StoreEpoch epoch;
-    for (const Answer& answer : row.answers) {
-      AnswerStatus standing = epoch.OnAnswer(answer.epoch, At(answer.sent_ms), At(answer.came_ms));
-      BOOST_TEST((standing == answer.standing), row.name);
+    for (const Answer& answer : test_case.answers) {
+      AnswerStatus status = epoch.OnAnswer(answer.epoch, At(answer.sent_ms), At(answer.came_ms));
+      BOOST_TEST((status == answer.status), test_case.name);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(WhenAnEpochIsSettled) {
   const Time later = At(10) + StoreEpoch::kRewriteTime;
-  StoreEpoch never_heard;
-  BOOST_TEST(!never_heard.IsSettledFor(later));
+  StoreEpoch without_answer;
+  BOOST_TEST(!without_answer.IsSettledFor(later));
 
-  StoreEpoch without;
-  without.OnAnswer(kNone, At(0), At(10));
-  BOOST_TEST(without.IsSettledFor(At(0)));
+  StoreEpoch no_epoch;
+  no_epoch.OnAnswer(kNone, At(0), At(10));
+  BOOST_TEST(no_epoch.IsSettledFor(At(0)));
 
   StoreEpoch started;
   started.OnAnswer(7, At(0), At(10));
   BOOST_TEST(!started.IsSettledFor(At(20)));
   BOOST_TEST(!started.IsSettledFor(later - milliseconds(1)));
   BOOST_TEST(started.IsSettledFor(later));
-  // Another epoch's mark says nothing; this one's does.
+  // Only a record of the current epoch settles it.
   started.MarkSettled(6, At(30));
   BOOST_TEST(!started.IsSettledFor(At(40)));
   started.MarkSettled(7, At(50));
   BOOST_TEST(!started.IsSettledFor(At(40)));
   BOOST_TEST(started.IsSettledFor(At(50)));
-  // The next return unsettles it, and a mark that comes late does not settle it earlier.
+  // After the next return the epoch is unsettled again.  A record that arrives after the epoch has
+  // settled does not change the time.
   started.OnAnswer(8, At(60), At(70));
   BOOST_TEST(!started.IsSettledFor(At(80)));
   BOOST_TEST(started.IsSettledFor(At(70) + StoreEpoch::kRewriteTime));
@@ -102,19 +104,20 @@
   BOOST_TEST(started.IsSettledFor(At(70) + StoreEpoch::kRewriteTime));
 }
 
-// A store with one topic, as the platform describes it, and a reader that may be cut off at
-// any moment.  Whatever the reader takes for proved must be what the store held.
-BOOST_AUTO_TEST_CASE(NoReaderProvesWhatTheStoreDoesNotHold) {
+// Runs a store with one topic, as the platform describes it, against a reader that reads at
+// random times and resumes from its last offset.  After each read the reader must hold exactly what
+// the store holds, also if the store has returned from a backup since the last read.
+BOOST_AUTO_TEST_CASE(AReaderHoldsWhatTheStoreHoldsAfterEveryReturn) {
   for (uint64_t seed = 0; seed < 400; ++seed) {
     std::mt19937_64 random(seed);
     auto below = [&](uint64_t bound) { return random() % bound; };
     std::vector<int> log;
-    std::vector<int> copy;
+    std::vector<int> backup;
     uint64_t store_epoch = 1;
     int next_value = 1;
     StoreEpoch epoch;
     std::vector<int> read;
-    std::optional<uint64_t> read_in;
+    std::optional<uint64_t> read_epoch;
     for (int step = 0; step < 60; ++step) {
       Time now = At(100 * step);
       switch (below(5)) {
@@ -122,19 +125,19 @@
           log.push_back(next_value++);
           break;
         case 1:
-          copy = log;
+          backup = log;
           break;
         case 2:
-          log = copy;
+          log = backup;
           store_epoch += 1 + below(2);
           break;
         default: {
           epoch.OnAnswer(store_epoch, now - milliseconds(50), now);
-          bool has_place = read_in == epoch.current() && read.size() <= log.size();
-          size_t from = has_place ? read.size() : 0;
-          if (!has_place) read.clear();
+          bool has_offset = read_epoch == epoch.current() && read.size() <= log.size();
+          size_t from = has_offset ? read.size() : 0;
+          if (!has_offset) read.clear();
           read.insert(read.end(), log.begin() + static_cast<ptrdiff_t>(from), log.end());
-          read_in = epoch.current();
+          read_epoch = epoch.current();
           BOOST_TEST_REQUIRE(read == log, "seed " << seed << " step " << step);
         }
       }
@@ -142,7 +145,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(MarksAreNumbers) {
+BOOST_AUTO_TEST_CASE(SettledEpochRecordsAreNumbers) {
   BOOST_TEST((DecodeSettledEpoch(EncodeSettledEpoch(17)) == std::optional<uint64_t>(17)));
   for (const char* value : {"", "x", "-1", "1.5", "99999999999999999999999", "1 2"}) {
     BOOST_TEST(!DecodeSettledEpoch(value).has_value(), value);
@@ -161,7 +164,7 @@
 
 using Ids = std::set<std::string>;
 
-BOOST_AUTO_TEST_CASE(AnOlderListUndoesNoLeavingAndLosesNoNewcomer) {
+BOOST_AUTO_TEST_CASE(AStaleListKeepsDepartedEnginesOutAndNewEnginesIn) {
   const Time settled = At(2500);
   EngineDirectory directory;
   directory.Replace({Engine("stays"), Engine("drains"), Engine("goes")}, At(0), Time{});
@@ -172,11 +175,12 @@
   directory.ReplaceByOlder({Engine("stays"), Engine("drains"), Engine("goes")}, At(1000), settled);
   BOOST_TEST(UsableOf(&directory, At(1000)) == (Ids{"stays", "new"}));
   BOOST_TEST(UsableOf(&directory, At(2400)) == (Ids{"stays", "new"}));
-  // The newcomer has not written again; the one that left was only gone from the list.
+  // "new" has not been written again, so it is removed.  "goes" was only missing from the list
+  // for a time and is usable again.
   BOOST_TEST(UsableOf(&directory, settled) == (Ids{"goes", "stays"}));
 }
 
-BOOST_AUTO_TEST_CASE(WhatEnginesWriteAgainCountsAtOnce) {
+BOOST_AUTO_TEST_CASE(EntriesThatEnginesWriteAgainApplyAtOnce) {
   const Time settled = At(2500);
   EngineDirectory directory;
   directory.Replace({Engine("goes"), Engine("back"), Engine("drains")}, At(0), Time{});
@@ -188,12 +192,12 @@
   directory.Update(Engine("back"));
   BOOST_TEST(UsableOf(&directory, At(1600)) == Ids{"back"});
   BOOST_TEST(UsableOf(&directory, At(9000)) == Ids{"back"});
-  // A later life of the one that left is another engine.
+  // A later incarnation of the engine that left is a different engine.
   directory.Update(Engine("drains", 2));
   BOOST_TEST(UsableOf(&directory, At(9000)) == (Ids{"back", "drains"}));
 }
 
-BOOST_AUTO_TEST_CASE(DeparturesAreBounded) {
+BOOST_AUTO_TEST_CASE(DepartedEnginesAreBounded) {
   Departures departures;
   for (size_t i = 0; i < 2 * Departures::kMost; ++i) {
     departures.Note("life-" + std::to_string(i), kStart);
