--- a/src/serving/copy_schedule.h
+++ b/src/serving/copy_schedule.h
@@ -8,8 +8,8 @@
 //
 // Versions pass from gateway to gateway and may be outdated when they arrive.  Each write
 // therefore has a revision that is one higher than the highest that the writer has received, and
-// only a higher revision replaces a recorded version.  Without revisions two versions could
-// circulate forever, and each gateway would write whenever it received the other one.
+// only a higher version replaces the recorded one.  Without revisions two contents could circulate
+// forever, and every gateway with the other content would write its list again.
 //
 //   CopySchedule schedule(seed);
 //   schedule.NoteList(fingerprint, now);         // this gateway's list has changed
@@ -28,7 +28,8 @@
 
 namespace gullward {
 
-// Identifies what the copy holds.  Versions are ordered by revision.
+// Identifies what the copy holds.  Versions are ordered by revision, and then by
+// fingerprint.
 struct CopyVersion {
   // Number of the write; 0 if no write has been recorded.
   uint64_t revision = 0;
--- a/src/serving/shared_quarantine.h
+++ b/src/serving/shared_quarantine.h
@@ -31,9 +31,9 @@
   struct Hooks {
     // The content has `engines` unexplained crashes, kMinCrashesToReport or more.
     std::function<void(ContentId content, size_t engines)> suspected;
-    // A content was put into quarantine by the decision of the box `by`.
+    // A content was put into quarantine, as the box `by` has decided or reported.
     std::function<void(const QuarantineReport& report, const std::string& by)> quarantined;
-    // A content was cleared, because the box `by` has seen a complete answer to it.
+    // A content was cleared, because the box `by` has seen or reported a complete answer to it.
     std::function<void(ContentId content, bool was_quarantined, const std::string& by)> cleared;
   };
 
@@ -47,7 +47,8 @@
   // A request with this content was answered completely here.
   void NoteAnswered(ContentId content, Time now) { this->Clear(content, this->box, now); }
 
-  // Adopts the decision of the box `by`, which was received from a peer or read from the store.
+  // Adopts a quarantine that was received from a peer or read from the store.  `by` is the box
+  // that has decided or reported it.
   void AdoptFromPeer(const QuarantineReport& report, const std::string& by, Time now);
 
   // Applies the gossip of a peer.  Returns the reply for this peer: the quarantined contents for
