--- a/src/serving/quarantine.cc
+++ b/src/serving/quarantine.cc
@@ -43,7 +43,7 @@
   Record& record = found->second;
   bool had_evidence = !record.crashes.empty() || record.quarantined_until;
   bool was_quarantined = record.quarantined_until.has_value();
-  bool shared_crashes = record.crashes.size() >= kMinCrashes;
+  bool had_min_crashes = record.crashes.size() >= kMinCrashes;
   record = Record{};
   record.cleared_at = now;
   record.last_report_at = now;
@@ -52,7 +52,7 @@
     this->quarantined_count -= 1;
     this->RecomputeExplained();
   }
-  if (shared_crashes) this->QueueDecisions();
+  if (had_min_crashes) this->QueueDecisions();
   return had_evidence;
 }
 
--- a/src/serving/quarantine.h
+++ b/src/serving/quarantine.h
@@ -133,8 +133,8 @@
     return this->QuarantinedFor(content, now).has_value();
   }
 
-  // The engines that crashed while running the content, and how many of these crashes are not
-  // explained by another content in quarantine.
+  // The number of engines that crashed while running the content, and how many of these crashes
+  // are not explained by a content in quarantine.
   size_t CrashCount(ContentId content) const;
   size_t UnexplainedCrashCount(ContentId content) const;
 
