--- a/src/capacity/main.cc
+++ b/src/capacity/main.cc
@@ -293,7 +293,7 @@
   ConfigFeed feed;
   std::vector<ConfigError> errors;
   auto file = ParseConfigFile(BasicConfig(), "basic", &errors);
-  feed.TakeLogRecords(0, {{0, EncodeRecord(MakeChange(*file, feed.state(), {1, 1}))}});
+  feed.ApplyLogRecords(0, {{0, EncodeRecord(MakeChange(*file, feed.state(), {1, 1}))}});
   auto make = [&] {
     EntryOptions options;
     options.incarnation = 1;
--- a/src/claims/claim_table.h
+++ b/src/claims/claim_table.h
@@ -12,7 +12,7 @@
 // A key is remembered for `memory` after this process first read its claim.
 // That is shorter than the log's retention, so a process that starts now reads
 // every claim that still counts.  Memory is bounded by max_keys; once that many
-// are held, Full() is true and new keyed requests have to be refused, since a
+// are held, IsFull() is true and new keyed requests have to be refused, since a
 // key that is forgotten too early could be run twice.
 
 #ifndef GULLWARD_CLAIMS_CLAIM_TABLE_H_
@@ -47,7 +47,7 @@
   std::optional<RequestId> Holder(uint64_t key_hash, Time now);
 
   // Whether no further key can be remembered.
-  bool Full() const { return this->holders.size() >= this->options.max_keys; }
+  bool IsFull() const { return this->holders.size() >= this->options.max_keys; }
 
   size_t size() const { return this->holders.size(); }
 
--- a/src/claims/claimer.cc
+++ b/src/claims/claimer.cc
@@ -15,7 +15,7 @@
     this->outcomes.push_back({request, ClaimOutcome::Kind::kLost, *holder});
     return;
   }
-  bool full = this->pending.size() >= this->options.max_waiting || this->table.Full();
+  bool full = this->pending.size() >= this->options.max_waiting || this->table.IsFull();
   if (full) {
     this->outcomes.push_back({request, ClaimOutcome::Kind::kUnavailable, {}});
     return;
--- a/src/config/config_feed.cc
+++ b/src/config/config_feed.cc
@@ -11,7 +11,7 @@
 
 ConfigFeed::ConfigFeed(AppliedHook hook) : applied(std::move(hook)) {}
 
-void ConfigFeed::TakeLogRecords(int64_t earliest, const std::vector<OffsetRecord>& records) {
+void ConfigFeed::ApplyLogRecords(int64_t earliest, const std::vector<OffsetRecord>& records) {
   for (const OffsetRecord& record : records) {
     if (record.offset <= this->config.offset()) continue;
     bool gap = record.offset > this->config.offset() + 1;
@@ -33,7 +33,7 @@
   }
 }
 
-void ConfigFeed::TakePeerRecords(const std::vector<OffsetRecord>& records) {
+void ConfigFeed::ApplyPeerRecords(const std::vector<OffsetRecord>& records) {
   for (const OffsetRecord& record : records) {
     LogRecord decoded = DecodeRecord(record.body);
     const auto* snapshot = std::get_if<ConfigSnapshot>(&decoded);
@@ -96,20 +96,20 @@
   return this->config.offset() + 1;
 }
 
-void ConfigFeed::HeardOf(int64_t offset, Time now) {
+void ConfigFeed::ObserveOffset(int64_t offset, Time now) {
   if (offset <= this->heard) return;
   bool was_behind = this->config.offset() < this->heard;
   this->heard = offset;
   if (!was_behind) this->behind_since = now;
 }
 
-bool ConfigFeed::Ready(Time now, Duration patience) const {
+bool ConfigFeed::IsReady(Time now, Duration patience) const {
   if (this->config.size() == 0) return false;
   if (this->config.offset() >= this->heard) return true;
   return now - this->behind_since < patience;
 }
 
-bool ConfigFeed::SnapshotDue(int64_t max_records) const {
+bool ConfigFeed::IsSnapshotDue(int64_t max_records) const {
   return this->config.size() > 0 && this->config.offset() - this->newest_snapshot >= max_records;
 }
 
--- a/src/config/config_feed.h
+++ b/src/config/config_feed.h
@@ -6,8 +6,8 @@
 // and lets the ConfigState only move forward:
 //
 //   ConfigFeed feed;
-//   feed.TakeLogRecords(earliest, records);     // after each read of the log
-//   feed.TakePeerRecords(records);              // after a ConfigRecords message
+//   feed.ApplyLogRecords(earliest, records);     // after each read of the log
+//   feed.ApplyPeerRecords(records);              // after a ConfigRecords message
 //   int64_t next = feed.next_offset();          // where to read the log from
 //   ConfigRecords answer = feed.RecordsAfter(fetch.after);
 //
@@ -16,7 +16,7 @@
 // successor can still be read, loads that, and replays what it buffered.  A
 // snapshot is a pure function of its prefix, so whose snapshot it is does not
 // matter, nor how many there are; any process cuts one when the last has grown
-// old (SnapshotDue).
+// old (IsSnapshotDue).
 //
 // Memory: the configuration, kKeptRecords recent records, and, while catching
 // up, what the log holds up to its next snapshot.
@@ -50,10 +50,10 @@
 
   // Takes records just read from the log.  `earliest` is the lowest offset that
   // the log still holds.
-  void TakeLogRecords(int64_t earliest, const std::vector<OffsetRecord>& records);
+  void ApplyLogRecords(int64_t earliest, const std::vector<OffsetRecord>& records);
 
   // Takes records that a peer sent: perhaps a snapshot, then its successors.
-  void TakePeerRecords(const std::vector<OffsetRecord>& records);
+  void ApplyPeerRecords(const std::vector<OffsetRecord>& records);
 
   // What a peer that holds everything up to `after` lacks, as far as this
   // process knows.  Empty where the peer is not behind.
@@ -63,18 +63,18 @@
   int64_t next_offset() const;
 
   // Notes that some process holds the configuration up to `offset`.
-  void HeardOf(int64_t offset, Time now);
+  void ObserveOffset(int64_t offset, Time now);
 
   // The highest offset heard of, and since when this process has been behind.
-  int64_t highest_heard() const { return this->heard; }
+  int64_t highest_known_offset() const { return this->heard; }
 
   // Whether requests may be served: there is a configuration, and it is not
   // behind an offset heard of for longer than `patience`.
-  bool Ready(Time now, Duration patience) const;
+  bool IsReady(Time now, Duration patience) const;
 
   // Whether a snapshot should be cut now: the newest one is `max_records` or
   // more records old.
-  bool SnapshotDue(int64_t max_records) const;
+  bool IsSnapshotDue(int64_t max_records) const;
 
   const ConfigState& state() const { return this->config; }
 
--- a/src/config/testing/config_test.cc
+++ b/src/config/testing/config_test.cc
@@ -165,7 +165,7 @@
       ConfigFeed feed;
       for (size_t from = earliest; from < log.size(); from += batch) {
         size_t to = std::min(from + batch, log.size());
-        feed.TakeLogRecords(static_cast<int64_t>(earliest), Slice(log, from, to));
+        feed.ApplyLogRecords(static_cast<int64_t>(earliest), Slice(log, from, to));
       }
       BOOST_TEST((feed.state().Snapshot() == whole), "earliest " << earliest << " batch " << batch);
     }
@@ -176,51 +176,51 @@
   // The snapshot at 12 covers up to 9 only; records 10 and 11 are trimmed.
   std::vector<OffsetRecord> log = MakeLog(15, {{9, 12}});
   ConfigFeed feed;
-  feed.TakeLogRecords(11, Slice(log, 11, log.size()));
+  feed.ApplyLogRecords(11, Slice(log, 11, log.size()));
   BOOST_TEST(feed.state().size() == 0u);
-  BOOST_TEST(!feed.Ready(Time(), seconds(5)));
+  BOOST_TEST(!feed.IsReady(Time(), seconds(5)));
   // A peer that has it all helps, and what was buffered is not lost.
   ConfigFeed peer;
-  peer.TakeLogRecords(0, Slice(log, 0, 12));
-  feed.TakePeerRecords(peer.RecordsAfter(feed.state().offset()).records);
+  peer.ApplyLogRecords(0, Slice(log, 0, 12));
+  feed.ApplyPeerRecords(peer.RecordsAfter(feed.state().offset()).records);
   BOOST_TEST((feed.state().Snapshot() == Replay(log)));
 }
 
 BOOST_AUTO_TEST_CASE(PeersFeedOnlyForward) {
   std::vector<OffsetRecord> log = MakeLog(600, {});
   ConfigFeed ahead;
-  ahead.TakeLogRecords(0, log);
+  ahead.ApplyLogRecords(0, log);
   for (size_t known : {0u, 1u, 300u, 500u, 599u, 600u}) {
     ConfigFeed feed;
-    feed.TakeLogRecords(0, Slice(log, 0, known));
+    feed.ApplyLogRecords(0, Slice(log, 0, known));
     ConfigRecords answer = ahead.RecordsAfter(feed.state().offset());
-    feed.TakePeerRecords(answer.records);
+    feed.ApplyPeerRecords(answer.records);
     BOOST_TEST((feed.state().Snapshot() == ahead.state().Snapshot()), "known " << known);
     // The same again, and an older peer's, change nothing.
-    feed.TakePeerRecords(answer.records);
+    feed.ApplyPeerRecords(answer.records);
     ConfigFeed old;
-    old.TakeLogRecords(0, Slice(log, 0, 10));
-    feed.TakePeerRecords(old.RecordsAfter(-1).records);
+    old.ApplyLogRecords(0, Slice(log, 0, 10));
+    feed.ApplyPeerRecords(old.RecordsAfter(-1).records);
     BOOST_TEST(feed.state().offset() == 599);
   }
 }
 
 BOOST_AUTO_TEST_CASE(AProcessThatIsBehindStopsServingInTime) {
   ConfigFeed feed;
-  BOOST_TEST(!feed.Ready(Time(), seconds(5)));
-  feed.TakeLogRecords(0, MakeLog(3, {}));
-  BOOST_TEST(feed.Ready(Time(), seconds(5)));
-  feed.HeardOf(10, Time(seconds(100)));
-  BOOST_TEST(feed.Ready(Time(seconds(104)), seconds(5)));
-  feed.HeardOf(11, Time(seconds(104)));
-  BOOST_TEST(!feed.Ready(Time(seconds(105)), seconds(5)));
+  BOOST_TEST(!feed.IsReady(Time(), seconds(5)));
+  feed.ApplyLogRecords(0, MakeLog(3, {}));
+  BOOST_TEST(feed.IsReady(Time(), seconds(5)));
+  feed.ObserveOffset(10, Time(seconds(100)));
+  BOOST_TEST(feed.IsReady(Time(seconds(104)), seconds(5)));
+  feed.ObserveOffset(11, Time(seconds(104)));
+  BOOST_TEST(!feed.IsReady(Time(seconds(105)), seconds(5)));
 }
 
 BOOST_AUTO_TEST_CASE(UnknownRecordsAreSkippedAlike) {
   std::vector<OffsetRecord> log = MakeLog(3, {});
   log[1].body = "from a later version";
   ConfigFeed feed;
-  feed.TakeLogRecords(0, log);
+  feed.ApplyLogRecords(0, log);
   BOOST_TEST(feed.state().offset() == 2);
   BOOST_TEST(feed.state().counters().unknown == 1u);
   BOOST_TEST(feed.state().counters().accepted == 2u);
--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -87,7 +87,7 @@
 
   void AfterRead(const LogRead& read) {
     if (read.ok) {
-      this->feed.TakeLogRecords(read.earliest, read.records);
+      this->feed.ApplyLogRecords(read.earliest, read.records);
       if (read.records.empty()) this->read_all = true;
     }
     if (this->Finished()) return;
--- a/src/entry/entry_server.cc
+++ b/src/entry/entry_server.cc
@@ -102,7 +102,7 @@
              }}),
       admin(event_loop, {[this] {
                            return !this->stopping && !this->core.draining() &&
-                                  this->follower.feed().Ready(Now(), kConfigPatience);
+                                  this->follower.feed().IsReady(Now(), kMaxConfigLag);
                          },
                          [this] { return this->StateJson(); },
                          [this] { return this->MetricsBody(); }, [this] { this->core.Drain(); }}) {}
@@ -250,7 +250,7 @@
 void EntryServer::Submit(Caller caller, RequestInput input, const ApiError& error) {
   std::shared_ptr<HttpExchange> exchange = caller.exchange;
   // Until there is a configuration no key is known, good or bad.
-  bool ready = this->follower.feed().Ready(Now(), kConfigPatience);
+  bool ready = this->follower.feed().IsReady(Now(), kMaxConfigLag);
   ResultCode key = ready ? this->core.CheckKey(input.key_sha256) : ResultCode::kOk;
   if (key != ResultCode::kOk || (ready && error.code != ResultCode::kOk)) {
     bool key_good = key == ResultCode::kOk;
@@ -457,7 +457,7 @@
   state["data_centre"] = this->settings.zone;
   state["incarnation"] = this->incarnation;
   state["config_offset"] = this->follower.state().offset();
-  state["config_heard"] = this->follower.feed().highest_heard();
+  state["config_heard"] = this->follower.feed().highest_known_offset();
   state["config_objects"] = this->follower.state().size();
   state["log_reachable"] = this->follower.log_reachable();
   state["draining"] = this->core.draining();
@@ -514,7 +514,7 @@
   text.Counter(requests, requests_help, {{"result", "refused"}}, static_cast<double>(c.refused));
   text.Counter(requests, requests_help, {{"result", "finished"}}, static_cast<double>(c.finished));
   text.Counter(requests, requests_help, {{"result", "failed"}}, static_cast<double>(c.failed));
-  text.Counter(requests, requests_help, {{"result", "gone"}}, static_cast<double>(c.gone));
+  text.Counter(requests, requests_help, {{"result", "gone"}}, static_cast<double>(c.callers_gone));
   text.Counter("gullward_entry_offers_total", "Offers sent to endpoint boxes", {},
                static_cast<double>(c.offers));
   text.Counter("gullward_entry_offers_refused_total", "Offers refused as not run", {},
@@ -534,7 +534,7 @@
   text.Gauge("gullward_config_offset", "Offset of the configuration in force", {},
              static_cast<double>(this->follower.state().offset()));
   text.Gauge("gullward_config_heard", "Highest configuration offset heard of", {},
-             static_cast<double>(this->follower.feed().highest_heard()));
+             static_cast<double>(this->follower.feed().highest_known_offset()));
   text.Gauge("gullward_log_reachable", "Whether the platform's log answered last", {},
              this->follower.log_reachable() ? 1 : 0);
   text.Gauge("gullward_entry_boxes_connected", "Endpoint boxes connected", {},
--- a/src/gateway/config_prover.cc
+++ b/src/gateway/config_prover.cc
@@ -11,7 +11,7 @@
 // there shows by its end.
 bool EndsAt(uint64_t position, const StoreAnswer& answer) {
   if (!answer.ok()) return false;
-  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeTail(answer.body);
+  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeKeyedTail(answer.body);
   return tail.ok() && tail->records.empty() && tail->end == position;
 }
 
@@ -41,11 +41,12 @@
   this->schedule.NoteAsked();
   this->is_wanted = false;
   std::optional<uint64_t> epoch = this->recovery->returns().epoch().current();
-  this->client.Call(
-      platform::ReadFrom(this->topic, position, /*wait=*/Duration(0), TopicFollower::kGlanceKb),
-      StoreClient::kAnswerPatience, [this, position, epoch, now](const StoreAnswer& answer) {
-        this->OnAnswer(answer, position, epoch, now);
-      });
+  this->client.Call(platform::ReadRecordsRequest(this->topic, position, /*wait=*/Duration(0),
+                                                 TopicFollower::kGlanceKb),
+                    StoreClient::kAnswerPatience,
+                    [this, position, epoch, now](const StoreAnswer& answer) {
+                      this->OnAnswer(answer, position, epoch, now);
+                    });
 }
 
 void ConfigProver::NotePace(Duration took) {
--- a/src/gateway/engine_list_copy.cc
+++ b/src/gateway/engine_list_copy.cc
@@ -61,7 +61,7 @@
   if (!this->is_busy) return;
   auto first = this->unwritten.extract(this->unwritten.begin());
   platform::KeyedRecord record{first.key(), first.mapped()};
-  this->client.Call(platform::AppendKeyed(platform::kEnginesCopyTopic, record),
+  this->client.Call(platform::AppendRecordRequest(platform::kEnginesCopyTopic, record),
                     StoreClient::kAnswerPatience, [this](const StoreAnswer& answer) {
                       if (answer.ok()) return this->WriteNext();
                       // The next change, or the next pause, tries anew.
@@ -79,7 +79,7 @@
 }
 
 void EngineListCopy::ReadAfter(const std::string& key) {
-  this->client.Call(platform::NewestOfEachKey(platform::kEnginesCopyTopic, key),
+  this->client.Call(platform::NewestRecordsRequest(platform::kEnginesCopyTopic, key),
                     StoreClient::kAnswerPatience,
                     [this](const StoreAnswer& answer) { this->OnPage(answer); });
 }
@@ -96,7 +96,7 @@
 
 void EngineListCopy::OnPage(const StoreAnswer& answer) {
   absl::StatusOr<platform::KeyedPage> page = absl::UnavailableError(answer.reason);
-  if (answer.ok()) page = platform::DecodeNewest(answer.body);
+  if (answer.ok()) page = platform::DecodeKeyedPage(answer.body);
   if (!page.ok()) return this->RetryRead();
   this->recovery->NoteAnswer();
   for (const platform::KeyedRecord& record : page->records) {
@@ -108,7 +108,7 @@
                            .Number("bytes", static_cast<double>(record.value.size())));
     }
   }
-  if (page->more && !page->records.empty()) return this->ReadAfter(page->records.back().key);
+  if (page->has_more && !page->records.empty()) return this->ReadAfter(page->records.back().key);
   this->is_busy = false;
   // Nothing there: before the first copy there is only the list itself.
   if (!this->found.empty() && this->hooks.is_wanted()) {
--- a/src/gateway/engine_request.cc
+++ b/src/gateway/engine_request.cc
@@ -50,7 +50,7 @@
   RemoveHopByHopHeaders(headers, platform::IsEndToEnd);
   headers->erase(
       std::remove_if(headers->begin(), headers->end(),
-                     [](const auto& field) { return platform::IsOursToSet(field.first); }),
+                     [](const auto& field) { return platform::IsGatewayOnly(field.first); }),
       headers->end());
 }
 
--- a/src/gateway/epoch_marker.cc
+++ b/src/gateway/epoch_marker.cc
@@ -29,7 +29,7 @@
 void EpochMarker::Write(uint64_t epoch) {
   this->is_busy = true;
   platform::KeyedRecord record{std::string(kEpochMarkKey), EncodeEpochMark(epoch)};
-  this->client.Call(platform::AppendKeyed(platform::kPeersTopic, record),
+  this->client.Call(platform::AppendRecordRequest(platform::kPeersTopic, record),
                     StoreClient::kAnswerPatience, [this, epoch](const StoreAnswer& answer) {
                       if (!answer.ok()) {
                         this->recovery->Wait([this] { this->is_busy = false; });
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -140,7 +140,7 @@
   orders.account = this->admission.account;
   for (size_t i = 0; i < choice.readers.size(); ++i) {
     std::string ticket = this->tickets ? this->tickets->tickets()[i].ticket : "";
-    orders.readers.push_back(platform::ReaderText(choice.readers[i].address, ticket));
+    orders.readers.push_back(platform::FormatReader(choice.readers[i].address, ticket));
   }
   orders.last_event_id = this->last_event_id;
   return orders;
@@ -206,7 +206,7 @@
 
 std::optional<std::string> Exchange::ReaderAtFault(const ResponseHead& head) const {
   if (!this->state->fleet.mechanisms().blame_named_reader) return std::nullopt;
-  std::optional<SocketAddress> named = platform::EngineAtFault(head.headers);
+  std::optional<SocketAddress> named = platform::EngineCausingRefusal(head.headers);
   if (!named) return std::nullopt;
   for (const EngineRecord& reader : this->attempt->readers) {
     if (reader.address == *named) return reader.Incarnation();
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -83,8 +83,8 @@
 
 void LoadExchange::Register() {
   platform::KeyedRecord record{this->box, this->OwnEntry()};
-  this->registrar.Call(platform::AppendKeyed(platform::kPeersTopic, record), kRegisterPatience,
-                       [this](const StoreAnswer& answer) {
+  this->registrar.Call(platform::AppendRecordRequest(platform::kPeersTopic, record),
+                       kRegisterPatience, [this](const StoreAnswer& answer) {
                          if (answer.ok()) return;
                          this->log->Write(LogLine("register_failed")
                                               .Number("status", answer.status)
--- a/src/gateway/notice_listener.cc
+++ b/src/gateway/notice_listener.cc
@@ -24,7 +24,7 @@
 void HearNotice(GatewayState* state, const EngineRecord& engine, const ResponseHead& head,
                 Time sent) {
   if (head.status == kMisdirected) return;
-  EngineNotice notice = platform::NoticeOf(head.status, head.headers);
+  EngineNotice notice = platform::ParseEngineNotice(head.status, head.headers);
   if (notice.malformed) NoteMalformed(state, engine);
   EngineNotices& notices = state->fleet.notices();
   EngineNotices::Change change = notices.Hear(engine.Incarnation(), notice, sent, Now());
--- a/src/gateway/quarantine_store.cc
+++ b/src/gateway/quarantine_store.cc
@@ -76,7 +76,7 @@
 void QuarantineStore::Write(ContentId content, const std::string& value) {
   this->is_busy = true;
   platform::KeyedRecord record{QuarantineKey(content), value};
-  this->client.Call(platform::AppendKeyed(platform::kPeersTopic, record),
+  this->client.Call(platform::AppendRecordRequest(platform::kPeersTopic, record),
                     StoreClient::kAnswerPatience,
                     [this, content, value](const StoreAnswer& answer) {
                       if (!answer.ok()) {
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -8,7 +8,7 @@
 
 namespace gullward {
 
-void StoreClient::Call(const platform::HttpCallText& call, Duration patience, Done done) {
+void StoreClient::Call(const platform::StoreRequest& call, Duration patience, Done done) {
   bool usable = this->channel && this->channel->reusable();
   if (!usable) this->channel = RequestChannel::Open(this->loop, this->address);
   this->incoming = {};
@@ -27,7 +27,7 @@
   hooks.head = [this](const ResponseHead& head) {
     this->heard_at = Now();
     this->incoming.status = head.status;
-    this->incoming.epoch = platform::EpochOf(head.headers);
+    this->incoming.epoch = platform::ParseStoreEpoch(head.headers);
   };
   hooks.body = [this](std::string_view bytes) {
     this->heard_at = Now();
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -52,7 +52,7 @@
       : loop(event_loop), address(std::move(store_address)), returns(store_returns) {}
 
   // Only one call at a time.
-  void Call(const platform::HttpCallText& call, Duration patience, Done done);
+  void Call(const platform::StoreRequest& call, Duration patience, Done done);
 
   // For how long nothing has come for the call under way; none where there is no call.
   Duration SilentFor(Time now) const;
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -62,7 +62,7 @@
   this->prolonged.assign(this->wishes.size(), Now());
   this->next_order = this->prolonged;
   for (const TicketWish& wish : this->wishes) {
-    std::string text = platform::ReserveMemoryText(wish.engine, wish.ticket, wish.tokens, kHold);
+    std::string text = platform::FormatReserveRequest(wish.engine, wish.ticket, wish.tokens, kHold);
     this->Order(wish, text,
                 [self = this->shared_from_this(), engine = wish.engine.Incarnation()](bool given) {
                   if (!given) {
@@ -96,7 +96,7 @@
 
 void TicketSet::Prolong(size_t ticket, Time now) {
   const TicketWish& wish = this->wishes[ticket];
-  std::string text = platform::ReserveMemoryText(wish.engine, wish.ticket, wish.tokens, kHold);
+  std::string text = platform::FormatReserveRequest(wish.engine, wish.ticket, wish.tokens, kHold);
   this->next_order[ticket] = now + kOrderPause;
   this->Order(wish, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
     if (carried_out) self->prolonged[ticket] = now;
@@ -124,7 +124,7 @@
                                 .Text("engine", wish.engine.Incarnation()));
     return;
   }
-  this->Order(wish, platform::ReleaseMemoryText(wish.engine, wish.ticket),
+  this->Order(wish, platform::FormatReleaseRequest(wish.engine, wish.ticket),
               [self = this->shared_from_this(), wish, tries_left](bool carried_out) {
                 if (!carried_out) self->ReleaseOne(wish, tries_left - 1);
               });
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -86,7 +86,7 @@
   std::string after = this->pages.empty() ? "" : this->pages.back().key;
   this->call_sent = Now();
   if (after.empty()) this->pages_sent = this->call_sent;
-  this->client.Call(platform::NewestOfEachKey(this->options.topic, after), this->page_patience,
+  this->client.Call(platform::NewestRecordsRequest(this->options.topic, after), this->page_patience,
                     [this](const StoreAnswer& answer) { this->OnPage(answer); });
 }
 
@@ -99,7 +99,7 @@
     this->Fail(ReasonOf(answer));
     return;
   }
-  absl::StatusOr<platform::KeyedPage> page = platform::DecodeNewest(answer.body);
+  absl::StatusOr<platform::KeyedPage> page = platform::DecodeKeyedPage(answer.body);
   if (!page.ok()) {
     this->Fail(std::string(page.status().message()));
     return;
@@ -118,7 +118,7 @@
   if (is_first) this->next_offset = page->end;
   this->TellUnreadable(page->unreadable);
   for (platform::KeyedRecord& record : page->records) this->pages.push_back(std::move(record));
-  if (page->more && !page->records.empty()) {
+  if (page->has_more && !page->records.empty()) {
     this->ReadPage();
     return;
   }
@@ -133,9 +133,10 @@
 
 void TopicFollower::ReadTail(Duration wait, size_t most_kb) {
   this->call_sent = Now();
-  this->client.Call(platform::ReadFrom(this->options.topic, this->next_offset, wait, most_kb),
-                    wait + StoreClient::kAnswerPatience,
-                    [this](const StoreAnswer& answer) { this->OnTail(answer); });
+  this->client.Call(
+      platform::ReadRecordsRequest(this->options.topic, this->next_offset, wait, most_kb),
+      wait + StoreClient::kAnswerPatience,
+      [this](const StoreAnswer& answer) { this->OnTail(answer); });
 }
 
 void TopicFollower::OnTail(const StoreAnswer& answer) {
@@ -151,7 +152,7 @@
     this->Fail(ReasonOf(answer));
     return;
   }
-  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeTail(answer.body);
+  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeKeyedTail(answer.body);
   if (!tail.ok()) {
     this->Fail(std::string(tail.status().message()));
     return;
--- a/src/log/config_follower.cc
+++ b/src/log/config_follower.cc
@@ -59,7 +59,7 @@
     return;
   }
   int64_t before = this->config.state().offset();
-  this->config.TakeLogRecords(read.earliest, read.records);
+  this->config.ApplyLogRecords(read.earliest, read.records);
   this->NoteMoved(before);
   this->MaybeCutSnapshot();
   // Not at once on the same stack: a log that answers fast would recurse.
@@ -69,7 +69,7 @@
 void ConfigFollower::NoteMoved(int64_t offset_before) {
   int64_t offset = this->config.state().offset();
   if (offset == offset_before) return;
-  this->config.HeardOf(offset, Now());
+  this->config.ObserveOffset(offset, Now());
   LOG(INFO) << "configuration in force: offset " << offset << ", " << this->config.state().size()
             << " objects";
   if (this->changed) this->changed();
@@ -77,14 +77,14 @@
 
 void ConfigFollower::MaybeCutSnapshot() {
   bool due = this->options.cut_snapshots && !this->snapshot_planned &&
-             this->config.SnapshotDue(this->options.snapshot_records);
+             this->config.IsSnapshotDue(this->options.snapshot_records);
   if (!due) return;
   this->snapshot_planned = true;
   std::uniform_int_distribution<int64_t> delay(0, kMaxSnapshotDelayMillis);
   this->loop->RunAfter(milliseconds(delay(this->random)), [this] {
     this->snapshot_planned = false;
     // Another process may have cut one meanwhile.
-    if (!this->config.SnapshotDue(this->options.snapshot_records)) return;
+    if (!this->config.IsSnapshotDue(this->options.snapshot_records)) return;
     LOG(INFO) << "cutting a snapshot at offset " << this->config.state().offset();
     this->log->Append(kConfigStream, EncodeRecord(this->config.state().Snapshot()),
                       [](const AppendResult&) {});
@@ -94,7 +94,7 @@
 void ConfigFollower::OnPeerOffset(int64_t offset, const std::function<void(const Message&)>& send) {
   Time now = Now();
   this->fed_at = now;
-  this->config.HeardOf(offset, now);
+  this->config.ObserveOffset(offset, now);
   bool behind = this->config.state().offset() < offset;
   if (!behind || now - this->fetched_at < kFetchPeriod) return;
   this->fetched_at = now;
@@ -103,7 +103,7 @@
 
 void ConfigFollower::OnPeerRecords(const ConfigRecords& records) {
   int64_t before = this->config.state().offset();
-  this->config.TakePeerRecords(records.records);
+  this->config.ApplyPeerRecords(records.records);
   this->NoteMoved(before);
 }
 
--- a/src/request/entry_core.cc
+++ b/src/request/entry_core.cc
@@ -19,9 +19,9 @@
 constexpr Duration kPrunePeriod = seconds(10);
 
 // How long an offer may stay unanswered: a large prompt takes time to send.
-Duration OfferPatience(const RequestInput& input) {
+Duration OfferTimeout(const RequestInput& input) {
   constexpr double kLeastBytesPerSecond = 5e6;
-  return kOfferPatience +
+  return kOfferTimeout +
          FromSeconds(static_cast<double>(input.prompt->size()) / kLeastBytesPerSecond);
 }
 
@@ -61,7 +61,7 @@
   request.deadline = now;
   Duration retry_after{};
   ResultCode code = ResultCode::kOk;
-  if (!this->config->Ready(now, kConfigPatience)) code = ResultCode::kNotReady;
+  if (!this->config->IsReady(now, kMaxConfigLag)) code = ResultCode::kNotReady;
   if (code == ResultCode::kOk && this->leaving) code = ResultCode::kDraining;
   if (code != ResultCode::kOk) retry_after = kDefaultRetryAfter;
   if (code == ResultCode::kOk) code = this->CheckAccount(&request);
@@ -329,8 +329,8 @@
   offer.sampling = input.sampling;
   piece.offered = true;
   piece.offered_at = now;
-  piece.dispatch = this->view.NoteDispatch(piece.plan.engine, request->priority,
-                                           piece.plan.prefill_seconds, piece.plan.memory_tokens);
+  piece.dispatch = this->view.RecordDispatch(piece.plan.engine, request->priority,
+                                             piece.plan.prefill_seconds, piece.plan.memory_tokens);
   offer.dispatch = piece.dispatch;
   piece.ran_before = request->ran;
   request->ran = Weaker(request->ran, Ran::kUnknown);
@@ -422,7 +422,7 @@
   ++this->counts.offers_refused;
   EngineRef engine = piece->plan.engine;
   if (piece->offered) {
-    this->view.NotePrefillOver(engine, piece->dispatch);
+    this->view.RecordPrefillEnd(engine, piece->dispatch);
     // This offer was not run, so what is known is what was known before it.
     request->ran = piece->ran_before;
   }
@@ -467,7 +467,7 @@
     this->OnBroken(request, piece->plan.engine, ResultCode::kEndpointLost, now);
     return;
   }
-  if (request->next_chunk == 0) this->view.NotePrefillOver(piece->plan.engine, piece->dispatch);
+  if (request->next_chunk == 0) this->view.RecordPrefillEnd(piece->plan.engine, piece->dispatch);
   if (request->delivered_tokens == 0) request->first_chunk_at = now;
   ++request->next_chunk;
   request->ran = Ran::kYes;
@@ -486,8 +486,8 @@
     this->OnBroken(request, piece->plan.engine, ResultCode::kEndpointLost, now);
     return;
   }
-  this->view.NotePrefillOver(piece->plan.engine, piece->dispatch);
-  this->view.NoteSuccess(piece->plan.engine);
+  this->view.RecordPrefillEnd(piece->plan.engine, piece->dispatch);
+  this->view.RecordSuccess(piece->plan.engine);
   piece->done = true;
   bool last = request->current_piece + 1 == request->pieces.size();
   if (last) {
@@ -515,7 +515,7 @@
 // ------------------------------------------------------------- broken attempts
 
 void EntryCore::OnBroken(Request* request, const EngineRef& engine, ResultCode code, Time now) {
-  this->view.NoteFailure(engine, now);
+  this->view.RecordFailure(engine, now);
   // Nothing was offered yet (a group that was still reserving): start over.
   bool safe = request->input.repeatable || request->ran == Ran::kNo;
   if (!safe) {
@@ -569,7 +569,7 @@
 
 void EntryCore::DropPieces(Request* request) {
   for (const Piece& piece : request->pieces) {
-    if (piece.offered) this->view.NotePrefillOver(piece.plan.engine, piece.dispatch);
+    if (piece.offered) this->view.RecordPrefillEnd(piece.plan.engine, piece.dispatch);
     this->actions.push_back(SendToBox{piece.plan.engine.box, Cancel{{request->id, piece.attempt}}});
   }
   request->pieces.clear();
@@ -593,7 +593,7 @@
   answer.content_type = done.content_type;
   if (!request->pieces.empty()) {
     const Piece& last = request->pieces.back();
-    if (request->pieces.size() == 1) this->view.NotePrefixes(last.plan.engine, request->hints);
+    if (request->pieces.size() == 1) this->view.RecordPrefixes(last.plan.engine, request->hints);
     // The last attempt is over; the others hold memory until they are told.
     request->pieces.pop_back();
     this->DropPieces(request);
@@ -626,7 +626,7 @@
 void EntryCore::OnCallerGone(const RequestId& id, Time) {
   Request* request = this->Find(id);
   if (request == nullptr) return;
-  ++this->counts.gone;
+  ++this->counts.callers_gone;
   this->DropPieces(request);
   this->claims.Abandon(id);
   if (request->holds_key && request->ran == Ran::kNo) {
@@ -689,7 +689,7 @@
       if (request.retry_at <= now) retry.push_back(id);
     } else if (request.input.repeatable && request.pieces.size() == 1) {
       const Piece& piece = request.pieces.front();
-      bool silent = !piece.accepted && now - piece.offered_at >= OfferPatience(request.input);
+      bool silent = !piece.accepted && now - piece.offered_at >= OfferTimeout(request.input);
       if (silent && request.next_chunk == 0) unanswered.push_back(id);
     }
   }
--- a/src/request/entry_core.h
+++ b/src/request/entry_core.h
@@ -72,14 +72,14 @@
 
 // How long an offer may stay unanswered before a repeatable request tries
 // another endpoint.
-inline constexpr Duration kOfferPatience = milliseconds(1000);
+inline constexpr Duration kOfferTimeout = milliseconds(1000);
 
 // How much lower than its class a long prompt runs.
 inline constexpr uint32_t kLongPriorityStep = 4;
 
 // How long a process may lag behind a configuration it has heard of and still
 // take requests.
-inline constexpr Duration kConfigPatience = seconds(5);
+inline constexpr Duration kMaxConfigLag = seconds(5);
 
 struct EntryOptions {
   std::string box;
@@ -168,7 +168,7 @@
   uint64_t refused = 0;
   uint64_t finished = 0;
   uint64_t failed = 0;
-  uint64_t gone = 0;
+  uint64_t callers_gone = 0;
   uint64_t offers = 0;
   uint64_t offers_refused = 0;
   uint64_t retries = 0;
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -3,7 +3,7 @@
 // When half the engines die at once, every request on them wants a second try,
 // on the half that is left.  A budget keeps retries to a small fraction of what
 // succeeds: each success adds `ratio` of a retry, each retry takes one, and the
-// purse never holds more than kMostRetries.
+// purse never holds more than kMaxRetries.
 //
 //   RetryBudget budget(0.1);
 //   if (!budget.Take()) ...          // give the request up, at once
@@ -16,7 +16,7 @@
 namespace gullward {
 
 // Retries that can be saved up; an entry starts with these.
-inline constexpr double kMostRetries = 20;
+inline constexpr double kMaxRetries = 20;
 
 class RetryBudget {
  public:
@@ -25,7 +25,7 @@
   void SetRatio(double retries_per_success) { this->ratio = retries_per_success; }
 
   // Notes a request that succeeded.
-  void AddSuccess() { this->purse = std::min(this->purse + this->ratio, kMostRetries); }
+  void AddSuccess() { this->purse = std::min(this->purse + this->ratio, kMaxRetries); }
 
   // Takes one retry, or says that there is none left.
   bool Take() {
@@ -38,7 +38,7 @@
 
  private:
   double ratio;
-  double purse = kMostRetries;
+  double purse = kMaxRetries;
 };
 
 }  // namespace gullward
--- a/src/request/testing/entry_core_test.cc
+++ b/src/request/testing/entry_core_test.cc
@@ -22,7 +22,7 @@
     std::vector<ConfigError> errors;
     auto file = ParseConfigFile(BasicConfig(), "test", &errors);
     ConfigChange change = MakeChange(*file, this->feed.state(), {1, 1});
-    this->feed.TakeLogRecords(0, {{0, EncodeRecord(change)}});
+    this->feed.ApplyLogRecords(0, {{0, EncodeRecord(change)}});
     this->core.OnConfigChanged();
     for (const char* box : {"box-1", "box-2", "box-3"}) this->Heartbeat(box, 0);
   }
@@ -304,7 +304,7 @@
     entry.core.OnCallerGone(offer.id.request, entry.now);
     entry.Actions();
   }
-  BOOST_TEST(retried == static_cast<int>(kMostRetries));
+  BOOST_TEST(retried == static_cast<int>(kMaxRetries));
 }
 
 BOOST_AUTO_TEST_CASE(OwnDispatchesCountUntilAReportIncludesThem) {
--- a/src/routing/fleet_view.cc
+++ b/src/routing/fleet_view.cc
@@ -20,7 +20,7 @@
   return sum;
 }
 
-bool EngineView::HasLessUrgent(uint32_t priority) const {
+bool EngineView::HasLowerPriorityPrefill(uint32_t priority) const {
   for (size_t i = priority + 1; i < this->backlog_seconds.size(); ++i) {
     if (this->backlog_seconds[i] > 0) return true;
   }
@@ -65,15 +65,15 @@
 
 void FleetView::SetLeaving(const std::set<std::string>& leaving) { this->leaving_boxes = leaving; }
 
-uint64_t FleetView::NoteDispatch(const EngineRef& ref, uint32_t priority, double prefill_seconds,
-                                 uint64_t tokens) {
+uint64_t FleetView::RecordDispatch(const EngineRef& ref, uint32_t priority, double prefill_seconds,
+                                   uint64_t tokens) {
   Box& box = this->boxes[ref.box];
   uint64_t number = box.next_dispatch++;
   box.own.push_back({number, ref.engine, priority, prefill_seconds, tokens});
   return number;
 }
 
-void FleetView::NotePrefillOver(const EngineRef& ref, uint64_t dispatch) {
+void FleetView::RecordPrefillEnd(const EngineRef& ref, uint64_t dispatch) {
   auto found = this->boxes.find(ref.box);
   if (found == this->boxes.end()) return;
   for (Dispatch& own : found->second.own) {
@@ -84,18 +84,18 @@
   }
 }
 
-void FleetView::NoteFailure(const EngineRef& ref, Time now) {
+void FleetView::RecordFailure(const EngineRef& ref, Time now) {
   Penalty& penalty = this->boxes[ref.box].penalties[ref.engine];
   penalty.until = now + penalty.next;
   penalty.next = std::min<Duration>(penalty.next * 2, kMaxPenalty);
 }
 
-void FleetView::NoteSuccess(const EngineRef& ref) {
+void FleetView::RecordSuccess(const EngineRef& ref) {
   auto found = this->boxes.find(ref.box);
   if (found != this->boxes.end()) found->second.penalties.erase(ref.engine);
 }
 
-void FleetView::NotePrefixes(const EngineRef& ref, const std::vector<CacheHint>& hints) {
+void FleetView::RecordPrefixes(const EngineRef& ref, const std::vector<CacheHint>& hints) {
   for (const CacheHint& hint : hints) this->RememberPrefix(hint, ref);
 }
 
@@ -117,7 +117,7 @@
 bool FleetView::Usable(const std::string& name, const Box& box, Time now) const {
   if (!box.connected || box.leaving) return false;
   if (this->leaving_boxes.count(name) > 0) return false;
-  return now - box.heard < kHeartbeatPatience;
+  return now - box.heard < kHeartbeatTimeout;
 }
 
 EngineView FleetView::ViewOf(const std::string& name, const Box& box,
@@ -180,7 +180,7 @@
   return names;
 }
 
-bool FleetView::Knows(const std::string& model) const {
+bool FleetView::HasModel(const std::string& model) const {
   for (const auto& [name, box] : this->boxes) {
     for (const EngineLoad& load : box.report.engines) {
       if (load.model == model) return true;
--- a/src/routing/fleet_view.h
+++ b/src/routing/fleet_view.h
@@ -8,8 +8,8 @@
 //
 //   FleetView fleet(own_incarnation);
 //   fleet.OnHeartbeat("box-3", heartbeat, now);
-//   uint64_t number = fleet.NoteDispatch(engine, priority, seconds, tokens);
-//   fleet.NotePrefillOver(engine, number);
+//   uint64_t number = fleet.RecordDispatch(engine, priority, seconds, tokens);
+//   fleet.RecordPrefillEnd(engine, number);
 //   std::vector<EngineView> views = fleet.Candidates(model, now);
 //
 // Leaving sticks: once a box has been heard to leave, by its own word, by the
@@ -34,7 +34,7 @@
 namespace gullward {
 
 // An endpoint box that has not been heard of for so long gets no new work.
-inline constexpr Duration kHeartbeatPatience = seconds(3);
+inline constexpr Duration kHeartbeatTimeout = seconds(3);
 
 // Prefix hashes that are remembered for the whole fleet.
 inline constexpr size_t kMaxPrefixes = 200'000;
@@ -70,7 +70,7 @@
   // Seconds of work of equal or higher priority.
   double WaitSeconds(uint32_t priority) const;
   // Whether there is prefill of lower priority.
-  bool HasLessUrgent(uint32_t priority) const;
+  bool HasLowerPriorityPrefill(uint32_t priority) const;
 };
 
 class FleetView {
@@ -91,19 +91,19 @@
 
   // Notes work sent to an engine and gives it the number that goes with the
   // offer.  Numbers count per box.
-  uint64_t NoteDispatch(const EngineRef& ref, uint32_t priority, double prefill_seconds,
-                        uint64_t tokens);
+  uint64_t RecordDispatch(const EngineRef& ref, uint32_t priority, double prefill_seconds,
+                          uint64_t tokens);
 
   // Notes that a dispatch's prefill is over, by its first token or its end.
-  void NotePrefillOver(const EngineRef& ref, uint64_t dispatch);
+  void RecordPrefillEnd(const EngineRef& ref, uint64_t dispatch);
 
   // An attempt broke on this engine: it is left out for a while that doubles
   // with each failure in a row, so it is let back in gradually.
-  void NoteFailure(const EngineRef& ref, Time now);
-  void NoteSuccess(const EngineRef& ref);
+  void RecordFailure(const EngineRef& ref, Time now);
+  void RecordSuccess(const EngineRef& ref);
 
   // Notes that an engine has just computed a prompt with these prefixes.
-  void NotePrefixes(const EngineRef& ref, const std::vector<CacheHint>& prefixes);
+  void RecordPrefixes(const EngineRef& ref, const std::vector<CacheHint>& prefixes);
 
   // The engines that may be given a request for this model now; cached_tokens is
   // filled in from the prompt's prefixes.  With `include_penalised`, also those
@@ -116,7 +116,7 @@
   std::vector<std::string> ServiceBoxes(const std::string& service, Time now) const;
 
   // Whether any engine of the fleet, usable now or not, serves the model.
-  bool Knows(const std::string& model) const;
+  bool HasModel(const std::string& model) const;
 
   // For dumps.
   struct BoxInfo {
--- a/src/routing/policy.cc
+++ b/src/routing/policy.cc
@@ -95,14 +95,14 @@
   return queued + TokenPairs(cached, request.prompt_tokens);
 }
 
-// Draws kSampled candidates; keeps every one with a cached prefix.
+// Draws kSampleSize candidates; keeps every one with a cached prefix.
 std::vector<EngineView> Sample(const std::vector<EngineView>& candidates, std::mt19937_64* random) {
-  if (candidates.size() <= kSampled) return candidates;
+  if (candidates.size() <= kSampleSize) return candidates;
   std::vector<EngineView> sample;
   for (const EngineView& engine : candidates) {
     if (engine.cached_tokens > 0) sample.push_back(engine);
   }
-  for (size_t i = 0; i < kSampled; ++i) {
+  for (size_t i = 0; i < kSampleSize; ++i) {
     std::uniform_int_distribution<size_t> pick(0, candidates.size() - 1);
     sample.push_back(candidates[pick(*random)]);
   }
@@ -115,7 +115,8 @@
                   const std::vector<EngineView>& candidates) -> std::optional<Choice> {
     std::vector<EngineView> considered = candidates;
     bool is_long = request.prompt_tokens >= request.long_tokens;
-    if (is_long) considered = LongEngines(request.model, candidates, request.long_share, 1);
+    if (is_long)
+      considered = EnginesForLongPrompts(request.model, candidates, request.long_share, 1);
     considered = Sample(considered, random.get());
     const EngineView* best = Cheapest(request, considered, EstimateFirstToken);
     if (best == nullptr) return std::nullopt;
@@ -134,16 +135,16 @@
   bool is_long = request.prompt_tokens >= request.long_tokens;
   if (!is_long && engine.long_running > 0) {
     estimate += kLongNeighbourSeconds;
-  } else if (!is_long && engine.HasLessUrgent(request.priority)) {
+  } else if (!is_long && engine.HasLowerPriorityPrefill(request.priority)) {
     estimate += kStepSeconds;
   }
   if (request.prompt_tokens + request.max_tokens > engine.free_tokens) estimate += kNoMemorySeconds;
   return estimate;
 }
 
-std::vector<EngineView> LongEngines(const std::string& model,
-                                    const std::vector<EngineView>& candidates, double share,
-                                    size_t at_least) {
+std::vector<EngineView> EnginesForLongPrompts(const std::string& model,
+                                              const std::vector<EngineView>& candidates,
+                                              double share, size_t at_least) {
   std::vector<std::pair<uint64_t, const EngineView*>> ranked;
   ranked.reserve(candidates.size());
   for (const EngineView& engine : candidates) {
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -14,7 +14,7 @@
 // and short prompts pay a small penalty for an engine where a long one runs: its
 // pieces make every step of that engine longer.
 //
-// To keep the cost flat as the fleet grows, no more than kSampled candidates
+// To keep the cost flat as the fleet grows, no more than kSampleSize candidates
 // are looked at, drawn at random, besides those that hold a cached prefix.
 //
 // The others are baselines: round_robin, least_outstanding, longest_prefix, and
@@ -36,7 +36,7 @@
 namespace gullward {
 
 // Candidates that a choice looks at, besides those with a cached prefix.
-inline constexpr size_t kSampled = 16;
+inline constexpr size_t kSampleSize = 16;
 
 // What a policy needs to know of a request.
 struct RoutingRequest {
@@ -70,9 +70,9 @@
 
 // The candidates that long prompts of this model may use: the share that
 // rendezvous hashing ranks first, at least `at_least` of them.
-std::vector<EngineView> LongEngines(const std::string& model,
-                                    const std::vector<EngineView>& candidates, double share,
-                                    size_t at_least);
+std::vector<EngineView> EnginesForLongPrompts(const std::string& model,
+                                              const std::vector<EngineView>& candidates,
+                                              double share, size_t at_least);
 
 }  // namespace gullward
 
--- a/src/soak/soak.cc
+++ b/src/soak/soak.cc
@@ -208,7 +208,7 @@
 }
 
 void Soak::PutRecord(std::string_view topic, const std::string& key, const std::string& value) {
-  this->store_calls.emplace_back(platform::AppendKeyed(topic, {key, value}),
+  this->store_calls.emplace_back(platform::AppendRecordRequest(topic, {key, value}),
                                  [this, place = std::pair(std::string(topic), key), value] {
                                    this->since_copy[place] = value;
                                  });
@@ -248,7 +248,8 @@
   config.accounts = {{"shop", {this->keys.begin(), this->keys.end()}, -1}};
   std::string text = platform::ConfigDocument(config).dump();
   this->store_calls.emplace_back(
-      platform::AppendKeyed(platform::kConfigTopic, {std::string(platform::kConfigKey), text}),
+      platform::AppendRecordRequest(platform::kConfigTopic,
+                                    {std::string(platform::kConfigKey), text}),
       [this, dropped, text] {
         this->since_copy[{std::string(platform::kConfigTopic), std::string(platform::kConfigKey)}] =
             text;
--- a/src/soak/soak.h
+++ b/src/soak/soak.h
@@ -132,7 +132,7 @@
   EventLoop loop;
   ProcessSet processes;
   std::unique_ptr<StoreClient> store;
-  std::deque<std::pair<platform::HttpCallText, std::function<void()>>> store_calls;
+  std::deque<std::pair<platform::StoreRequest, std::function<void()>>> store_calls;
   bool store_busy = false;
   // Returns are drawn apart, so that a seed's other faults are the same with and without.
   std::mt19937_64 return_random;
--- a/src/standins/engine_standin.cc
+++ b/src/standins/engine_standin.cc
@@ -130,7 +130,7 @@
   }
   if (this->NamesRefusedHelper(request)) {
     head.headers.emplace_back(platform::kNotRun, "1");
-    head.headers.emplace_back(platform::kEngineAtFault, this->refused_helper->ToString());
+    head.headers.emplace_back(platform::kRefusalCause, this->refused_helper->ToString());
     return channel->Answer(head, "");
   }
   EngineFault fault = this->TakeFault();
--- a/src/trial/world.cc
+++ b/src/trial/world.cc
@@ -128,7 +128,7 @@
   node->calls.clear();
   node->next_claim = 0;
   node->feed = std::make_unique<ConfigFeed>();
-  node->feed->TakeLogRecords(0, this->config_log);
+  node->feed->ApplyLogRecords(0, this->config_log);
   EntryOptions entry_options;
   entry_options.box = "entry-" + std::to_string(node->index + 1);
   entry_options.incarnation = this->next_incarnation++;
@@ -672,7 +672,7 @@
   this->config_log.push_back({offset, EncodeRecord(change)});
   for (const auto& node : this->entry_nodes) {
     if (!node->alive) continue;
-    node->feed->TakeLogRecords(0, this->config_log);
+    node->feed->ApplyLogRecords(0, this->config_log);
     node->core->OnConfigChanged();
     node->core->OnBoxList(this->options.entries, {});
   }
