--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -18,7 +18,7 @@
 // there is one, or may be one for all that has been proved, the caller is told to come back
 // instead of being denied for good: callers do not return after a 401 or a 404.
 ResultCode Deny(const GatewayState& state, const ConfigIndex& config, ResultCode why, Time now) {
-  bool is_newest = config.config().version >= state.newest_version_told && state.keys.IsFresh(now);
+  bool is_newest = config.config().version >= state.newest_peer_version && state.keys.IsFresh(now);
   return is_newest ? why : ResultCode::kNotCurrent;
 }
 
@@ -48,7 +48,7 @@
   ResultCode by_account = AdmitAccount(state, *config, request, now, admission);
   if (by_account != ResultCode::kOk) return by_account;
   if (!facts.valid) return ResultCode::kInvalidHeader;
-  Duration patience = facts.patience.value_or(admission->route->timeout);
+  Duration patience = facts.timeout.value_or(admission->route->timeout);
   admission->caller_waits_until = request.arrived + patience;
   admission->answer_by = request.arrived + std::min(patience, admission->route->timeout);
   return ResultCode::kOk;
--- a/src/gateway/caller_channel.cc
+++ b/src/gateway/caller_channel.cc
@@ -113,7 +113,7 @@
   this->FinishAnswer();
 }
 
-void CallerChannel::AnswerAhead(const AnswerHead& head, std::string_view body) {
+void CallerChannel::WriteUnsolicitedAnswer(const AnswerHead& head, std::string_view body) {
   if (this->phase == Phase::kClosed) return;
   this->stream->Write(this->HeadText(head, body.size()) + std::string(body));
 }
--- a/src/gateway/caller_channel.h
+++ b/src/gateway/caller_channel.h
@@ -78,7 +78,7 @@
 
   // Writes a whole answer that is to no request, as a faulty server would: for
   // stand-ins.
-  void AnswerAhead(const AnswerHead& head, std::string_view body);
+  void WriteUnsolicitedAnswer(const AnswerHead& head, std::string_view body);
 
   // The answer under way is the last one on this connection.
   void CloseAfterAnswer() { this->closing = true; }
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -22,7 +22,7 @@
       log(event_log),
       hooks(std::move(watch_hooks)),
       check(event_loop),
-      shared(watch_options.box, watch_options.lasts, this->EventHooks()),
+      shared(watch_options.box, watch_options.quarantine_duration, this->EventHooks()),
       kept(event_loop, watch_options.store, store_recovery, watch_options.seed) {}
 
 // The lines by which operators follow a content.
@@ -46,7 +46,7 @@
 }
 
 void CrashWatch::OnQuarantined(const QuarantineWord& word, const std::string& by) {
-  size_t engines = this->contents().EnginesOf(word.content);
+  size_t engines = this->quarantine().EnginesOf(word.content);
   this->log->Write(LogLine("content_quarantined")
                        .Text("content", ContentName(word.content))
                        .Text("by", by)
@@ -60,7 +60,7 @@
   QuarantineEntry entry;
   entry.until_ms = UnixMillis() + static_cast<int64_t>(ToMillis(word.left));
   entry.judged_by = by;
-  entry.engines = static_cast<uint32_t>(this->contents().EnginesOf(word.content));
+  entry.engines = static_cast<uint32_t>(this->quarantine().EnginesOf(word.content));
   this->kept.Keep(word.content, entry, is_witness, now);
 }
 
@@ -68,20 +68,20 @@
 // topic's word that an entry has outlived the return comes before.
 void CrashWatch::OnStoreReturn(Time now) {
   this->kept.OnStoreReturn();
-  for (ContentId content : this->contents().Quarantined(now)) {
-    std::optional<Duration> left = this->contents().QuarantinedFor(content, now);
+  for (ContentId content : this->quarantine().Quarantined(now)) {
+    std::optional<Duration> left = this->quarantine().QuarantinedFor(content, now);
     if (left) this->Keep({content, *left}, this->options.box, /*is_witness=*/false, now);
   }
 }
 
 std::optional<Duration> CrashWatch::RefusedFor(ContentId content, Time now) const {
-  if (!this->options.is_on) return std::nullopt;
-  return this->contents().RefusedFor(content, now);
+  if (!this->options.is_enabled) return std::nullopt;
+  return this->quarantine().RefusedFor(content, now);
 }
 
 void CrashWatch::NoteBroken(const EngineRecord& engine, ContentId content, Time sent,
                             const LogLine& line) {
-  if (!this->options.is_on) return;
+  if (!this->options.is_enabled) return;
   this->check.Ask(engine, [this, engine, content, sent, line](EngineFinding finding) {
     this->broken_count[finding] += 1;
     bool crashed = finding == EngineFinding::kGone && this->hooks.was_in_use(engine);
@@ -94,27 +94,28 @@
 }
 
 void CrashWatch::NoteAnswered(ContentId content, Time now) {
-  if (this->options.is_on) this->shared.NoteAnswered(content, now);
+  if (this->options.is_enabled) this->shared.NoteAnswered(content, now);
 }
 
-CrashNews CrashWatch::Hear(const std::string& peer, const CrashNews& news, Time now) {
-  return this->options.is_on ? this->shared.Hear(peer, news, now) : CrashNews{};
+CrashNews CrashWatch::ReceiveGossip(const std::string& peer, const CrashNews& news, Time now) {
+  return this->options.is_enabled ? this->shared.Hear(peer, news, now) : CrashNews{};
 }
 
 void CrashWatch::OnRecord(ContentId content, const std::string& value, Time now) {
   std::optional<QuarantineEntry> entry = DecodeQuarantineEntry(value);
   bool counts = this->kept.OnRecord(content, entry);
-  if (!entry || !counts || !this->options.is_on) return;
+  if (!entry || !counts || !this->options.is_enabled) return;
   int64_t left_ms = entry->until_ms - UnixMillis();
   if (left_ms <= 0) return;
-  left_ms = std::min<int64_t>(left_ms, static_cast<int64_t>(ToMillis(this->options.lasts)));
+  left_ms =
+      std::min<int64_t>(left_ms, static_cast<int64_t>(ToMillis(this->options.quarantine_duration)));
   this->shared.Impose({content, milliseconds(left_ms)}, entry->judged_by, now);
 }
 
 void CrashWatch::TickSlowly(Time now) {
   this->shared.Forget(now);
   std::erase_if(this->witnessed,
-                [this](ContentId content) { return !this->contents().Knows(content); });
+                [this](ContentId content) { return !this->quarantine().Knows(content); });
   this->kept.Tick(now, UnixMillis());
 }
 
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -32,10 +32,10 @@
  public:
   struct Options {
     // Off: nothing is noted, told or refused.
-    bool is_on = true;
+    bool is_enabled = true;
     std::string box;
     // How long a quarantine lasts.
-    Duration lasts = std::chrono::hours(1);
+    Duration quarantine_duration = std::chrono::hours(1);
     SocketAddress store;
     uint64_t seed = 0;
   };
@@ -52,12 +52,12 @@
 
   // Whether any content is under suspicion or in quarantine; while none is, nobody needs to
   // work out the content of a request.
-  bool knows_any() const { return this->contents().knows_any(); }
+  bool knows_any() const { return this->quarantine().knows_any(); }
   // Whether a second engine may get a request that the first broke off.
   bool AllowsSecondAttempt(ContentId content) const {
-    return this->contents().AllowsSecondAttempt(content);
+    return this->quarantine().AllowsSecondAttempt(content);
   }
-  bool IsSuspect(ContentId content) const { return this->contents().CrashesOf(content) > 0; }
+  bool IsSuspect(ContentId content) const { return this->quarantine().CrashesOf(content) > 0; }
 
   // An attempt at `engine` broke off that had been sent then; `line` tells of it and is written
   // with what was found.
@@ -67,10 +67,10 @@
   void NoteAnswered(ContentId content, Time now);
 
   // What a peer tells, and what it should be told in turn.
-  CrashNews Hear(const std::string& peer, const CrashNews& news, Time now);
+  CrashNews ReceiveGossip(const std::string& peer, const CrashNews& news, Time now);
 
   // News to be told to a few peers; empty where there is none.
-  CrashNews TakeNews() { return this->shared.TakeNews(); }
+  CrashNews TakeGossip() { return this->shared.TakeNews(); }
 
   // An entry of the topic that the quarantine is kept in.
   void OnRecord(ContentId content, const std::string& value, Time now);
@@ -85,12 +85,12 @@
   void TickSlowly(Time now);
 
   // Attempts that broke off, by what had become of the engine.
-  const std::map<EngineFinding, uint64_t>& broken() const { return this->broken_count; }
+  const std::map<EngineFinding, uint64_t>& broken_attempts() const { return this->broken_count; }
   uint64_t connections() const { return this->check.connections(); }
   uint64_t store_calls() const { return this->kept.store_calls(); }
-  uint64_t news_dropped() const { return this->shared.news_dropped(); }
-  uint64_t unkept() const { return this->kept.unkept(); }
-  const Quarantine& contents() const { return this->shared.contents(); }
+  uint64_t gossip_dropped() const { return this->shared.news_dropped(); }
+  uint64_t unstored_entries() const { return this->kept.unkept(); }
+  const Quarantine& quarantine() const { return this->shared.contents(); }
 
  private:
   SharedQuarantine::Hooks EventHooks();
--- a/src/gateway/engine_request.cc
+++ b/src/gateway/engine_request.cc
@@ -39,7 +39,7 @@
     std::optional<uint64_t> count = ParseCount(*deadline);
     facts.valid = count.has_value();
     uint64_t bounded = std::min(count.value_or(0), kLongestPatienceMs);
-    facts.patience = milliseconds(bounded);
+    facts.timeout = milliseconds(bounded);
   }
   std::optional<std::string_view> tokens = FindHeader(head.headers, platform::kTokenCount);
   if (tokens && !ReadTokenCount(*tokens, &facts)) facts.valid = false;
--- a/src/gateway/engine_request.h
+++ b/src/gateway/engine_request.h
@@ -21,7 +21,7 @@
 struct RequestFacts {
   std::string attempt_id;
   // For how long the caller waits; nothing if it does not say.
-  std::optional<Duration> patience;
+  std::optional<Duration> timeout;
   double prompt_tokens = 0;
   double answer_tokens = 0;
   // Whether all fields could be read.
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -10,7 +10,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "gateway/failure_answer.h"
-#include "gateway/notice_listener.h"
+#include "gateway/notice_receiver.h"
 #include "platform/engine_calls.h"
 #include "platform/headers.h"
 #include "serving/refusal.h"
@@ -185,14 +185,14 @@
   }
   this->state->fleet.loads().Begin(this->id, std::move(parts), now);
   bool shared_engine = this->service->runs_models;
-  if (shared_engine && this->state->tell_peers) this->state->tell_peers();
+  if (shared_engine && this->state->send_to_peers) this->state->send_to_peers();
 }
 
 void Exchange::OnHead(const ResponseHead& head) {
   if (!this->attempt) return;
   this->attempt->last_progress = Now();
   this->attempt->head = head;
-  HearNotice(this->state, this->attempt->engine, head, this->attempt->sent);
+  ReceiveNotice(this->state, this->attempt->engine, head, this->attempt->sent);
   AnswerFacts answer;
   answer.status = head.status;
   answer.sealed = FindHeader(head.headers, platform::kSeal).has_value();
@@ -233,7 +233,7 @@
   if (whole.count == 0) return;
   if (!this->attempt->any_event) this->NoteFirstEvent();
   this->NoteEvent();
-  this->state->counters.events_passed += static_cast<uint64_t>(whole.count);
+  this->state->counters.events_forwarded += static_cast<uint64_t>(whole.count);
   if (!this->answer_begun) this->BeginAnswer(std::nullopt);
   if (whole.last_id) this->last_event_id = whole.last_id;
   this->caller->WritePart(whole.bytes);
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -81,8 +81,8 @@
 // lacks a version that a peer has had since before.
 bool GatewayServer::NoteProof(Time sent) {
   bool is_settled = this->store_recovery.returns().epoch().IsSettledFor(sent);
-  bool lacks_newer = this->ConfigVersion() < this->state.newest_version_told &&
-                     this->state.newest_version_told_at <= sent;
+  bool lacks_newer = this->ConfigVersion() < this->state.newest_peer_version &&
+                     this->state.newest_peer_version_at <= sent;
   if (!is_settled || lacks_newer) return false;
   this->state.keys.Confirm(sent);
   return true;
@@ -113,9 +113,9 @@
 // hang on a connection that is dead.
 void GatewayServer::OnNewerVersion(uint64_t version, const Peer& peer) {
   Time now = Now();
-  if (version > this->state.newest_version_told) {
-    this->state.newest_version_told = version;
-    this->state.newest_version_told_at = now;
+  if (version > this->state.newest_peer_version) {
+    this->state.newest_peer_version = version;
+    this->state.newest_peer_version_at = now;
   }
   if (version != this->version_behind) {
     this->version_behind = version;
@@ -160,7 +160,7 @@
   }
   status = this->load_exchange.Start(peers_port);
   if (!status.ok()) return status;
-  this->state.tell_peers = [this] { this->load_exchange.Tell(Now()); };
+  this->state.send_to_peers = [this] { this->load_exchange.Tell(Now()); };
   this->config_follower.Start();
   if (this->state.fleet.mechanisms().copy_engine_list) {
     this->engine_list_copy.Read();
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -72,10 +72,10 @@
   size_t engines_leaving() const { return this->state.fleet.notices().leaving(); }
 
   // Contents that are refused since they end engines.
-  size_t quarantined() const { return this->crash_watch.contents().quarantined(); }
+  size_t quarantined() const { return this->crash_watch.quarantine().quarantined(); }
 
   // Contents under which an engine has ended unplanned.
-  size_t suspects() const { return this->crash_watch.contents().suspects(); }
+  size_t suspects() const { return this->crash_watch.quarantine().suspects(); }
 
   // Entries of the engines' list that could not be read, since the process began.
   uint64_t unreadable_entries() const { return this->state.counters.entries_unreadable; }
--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -52,9 +52,9 @@
   hooks.epoch_record = [this](const std::string& value) { this->epoch_marker.OnRecord(value); };
   hooks.engines_read_to = [this] { return this->engine_follower.position().value_or(0); };
   hooks.hear_engines_read_to = [this](uint64_t offset) { this->OnLongerEngineList(offset); };
-  hooks.take_news = [this] { return this->crash_watch.TakeNews(); };
+  hooks.take_news = [this] { return this->crash_watch.TakeGossip(); };
   hooks.hear_news = [this](const std::string& box, const CrashNews& news) {
-    return this->crash_watch.Hear(box, news, Now());
+    return this->crash_watch.ReceiveGossip(box, news, Now());
   };
   hooks.quarantine_record = [this](ContentId content, const std::string& value) {
     this->crash_watch.OnRecord(content, value, Now());
@@ -65,9 +65,9 @@
 CrashWatch::Options GatewayServer::CrashWatchOptions() const {
   const GatewaySettings& settings = this->state.settings;
   CrashWatch::Options options;
-  options.is_on = settings.mechanisms.quarantine;
+  options.is_enabled = settings.mechanisms.quarantine;
   options.box = settings.box;
-  options.lasts = settings.quarantine;
+  options.quarantine_duration = settings.quarantine;
   options.store = settings.store;
   options.seed = this->state.incarnation;
   return options;
--- a/src/gateway/gateway_server_pages.cc
+++ b/src/gateway/gateway_server_pages.cc
@@ -52,7 +52,7 @@
   dump["engines_leaving"] = notices.leaving();
   dump["engines_resting"] = notices.resting(Now());
   std::vector<std::string> quarantined;
-  for (ContentId content : this->crash_watch.contents().Quarantined(Now())) {
+  for (ContentId content : this->crash_watch.quarantine().Quarantined(Now())) {
     quarantined.push_back(ContentName(content));
   }
   dump["quarantined"] = quarantined;
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -30,7 +30,7 @@
   uint64_t answers_whole = 0;
   uint64_t answers_broken = 0;
   uint64_t callers_gone = 0;
-  uint64_t events_passed = 0;
+  uint64_t events_forwarded = 0;
   uint64_t orders = 0;
   // Attempts at engines of other cells.
   uint64_t spilled = 0;
@@ -40,9 +40,9 @@
   uint64_t engine_restarts = 0;
   // Notices of engines (serving/engine_notices.h) that changed what was known, by what they
   // said, and fields of them that could not be read.
-  uint64_t limits_heard = 0;
-  uint64_t leavings_heard = 0;
-  uint64_t rests_heard = 0;
+  uint64_t limit_changes = 0;
+  uint64_t leaving_changes = 0;
+  uint64_t rest_changes = 0;
   uint64_t notices_unreadable = 0;
   // By the length of the prompt (LengthName).
   std::map<std::string, LatencyHistogram> first_event;
@@ -81,8 +81,8 @@
   // The record that it was decoded from.
   std::shared_ptr<const std::string> config_record;
   // The newest version that any peer has told of.
-  uint64_t newest_version_told = 0;
-  Time newest_version_told_at{};
+  uint64_t newest_peer_version = 0;
+  Time newest_peer_version_at{};
   KeyFreshness keys;
   Fleet fleet;
   EnginePool pool;
@@ -93,7 +93,7 @@
   // Of requests that end engines; set by the server.
   CrashWatch* crash_watch = nullptr;
   // Asks for the peers to be told of new work at once rather than at the next tick.
-  std::function<void()> tell_peers;
+  std::function<void()> send_to_peers;
 };
 
 }  // namespace gullward
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -23,7 +23,7 @@
   count("gullward_answers_total", "Answers passed on whole", counters.answers_whole);
   count("gullward_answers_broken_total", "Answers broken off", counters.answers_broken);
   count("gullward_callers_gone_total", "Callers that left early", counters.callers_gone);
-  count("gullward_events_total", "Stream events passed on", counters.events_passed);
+  count("gullward_events_total", "Stream events passed on", counters.events_forwarded);
   count("gullward_spilled_total", "Attempts at engines of other cells", counters.spilled);
   count("gullward_datagrams_sent_total", "Datagrams to peers", figures.datagrams_sent);
   count("gullward_datagram_bytes_sent_total", "Bytes of them", figures.datagram_bytes_sent);
@@ -37,8 +37,8 @@
         counters.engine_restarts);
   const char* const notices_help = "Changes of what engines say of themselves, by kind";
   for (const auto& [kind, changes] :
-       {std::pair("limit", counters.limits_heard), std::pair("leaving", counters.leavings_heard),
-        std::pair("rest", counters.rests_heard)}) {
+       {std::pair("limit", counters.limit_changes), std::pair("leaving", counters.leaving_changes),
+        std::pair("rest", counters.rest_changes)}) {
     text->Counter("gullward_engine_notices_total", notices_help, {{"kind", kind}},
                   static_cast<double>(changes));
   }
@@ -62,7 +62,7 @@
 
 // Of requests that end the engines that run them.
 void AddCrashes(const CrashWatch& watch, MetricsText* text) {
-  for (const auto& [finding, attempts] : watch.broken()) {
+  for (const auto& [finding, attempts] : watch.broken_attempts()) {
     text->Counter("gullward_attempts_broken_total",
                   "Attempts that broke off, by what had become of the engine",
                   {{"engine", NameOf(finding)}}, static_cast<double>(attempts));
@@ -71,15 +71,15 @@
     text->Counter(name, help, {}, static_cast<double>(value));
   };
   count("gullward_crash_news_dropped_total", "News of ended engines that nobody was told",
-        watch.news_dropped());
+        watch.gossip_dropped());
   count("gullward_suspects_forgotten_total", "Contents forgotten for want of room",
-        watch.contents().forgotten());
+        watch.quarantine().forgotten());
   count("gullward_quarantine_unkept_total", "Contents in quarantine without room in the store",
-        watch.unkept());
+        watch.unstored_entries());
   text->Gauge("gullward_suspects", "Contents under which an engine has ended", {},
-              static_cast<double>(watch.contents().suspects()));
+              static_cast<double>(watch.quarantine().suspects()));
   text->Gauge("gullward_quarantined", "Contents in quarantine", {},
-              static_cast<double>(watch.contents().quarantined()));
+              static_cast<double>(watch.quarantine().quarantined()));
 }
 
 void AddLatencies(const GatewayCounters& counters, MetricsText* text) {
--- a/src/gateway/notice_listener.cc
+++ b/src/gateway/notice_receiver.cc
@@ -1,6 +1,6 @@
-// notice_listener.h tells what it is for.
+// notice_receiver.h tells what it is for.
 
-#include "gateway/notice_listener.h"
+#include "gateway/notice_receiver.h"
 
 #include "platform/engine_notice.h"
 
@@ -21,17 +21,17 @@
 
 }  // namespace
 
-void HearNotice(GatewayState* state, const EngineRecord& engine, const ResponseHead& head,
-                Time sent) {
+void ReceiveNotice(GatewayState* state, const EngineRecord& engine, const ResponseHead& head,
+                   Time sent) {
   if (head.status == kMisdirected) return;
   EngineNotice notice = platform::NoticeOf(head.status, head.headers);
   if (notice.malformed) NoteMalformed(state, engine);
   EngineNotices& notices = state->fleet.notices();
   EngineNotices::Change change = notices.Hear(engine.Incarnation(), notice, sent, Now());
   if (!change.any()) return;
-  state->counters.limits_heard += change.limit ? 1 : 0;
-  state->counters.leavings_heard += change.leaving ? 1 : 0;
-  state->counters.rests_heard += change.rest ? 1 : 0;
+  state->counters.limit_changes += change.limit ? 1 : 0;
+  state->counters.leaving_changes += change.leaving ? 1 : 0;
+  state->counters.rest_changes += change.rest ? 1 : 0;
   LogLine line("engine_notice");
   line.Text("engine", engine.Incarnation()).Number("status", head.status);
   if (change.limit && notice.limit_per_s) line.Number("limit_per_s", *notice.limit_per_s);
--- a/src/gateway/testing/catch_up_test.cc
+++ b/src/gateway/testing/catch_up_test.cc
@@ -21,7 +21,7 @@
 #include <string>
 
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 #include "serving/gateway_entry.h"
 #include "serving/load_digest.h"
@@ -39,7 +39,7 @@
 constexpr size_t kVersionBytes = 100'000;
 
 // The world's configuration with a route more.
-json LargeConfig(const GatewayWorld& world, int version) {
+json LargeConfig(const GatewayFixture& world, int version) {
   json config = world.DefaultConfig();
   config["version"] = version;
   config["padding"] = std::string(kVersionBytes, 'x');
@@ -50,7 +50,7 @@
   return config;
 }
 
-std::string RequestFor(const GatewayWorld& world, int version) {
+std::string RequestFor(const GatewayFixture& world, int version) {
   std::string request = world.SafeRequest(absl::StrCat("to-", version));
   const std::string old_path = "/app/look/x";
   request.replace(request.find(old_path), old_path.size(), absl::StrCat("/version/", version, "/"));
@@ -59,9 +59,9 @@
 
 BOOST_AUTO_TEST_CASE(WhoSaysThatItIsCurrentHasTheNewestVersion) {
   for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.key_trust = milliseconds(600);
-    GatewayWorld world(options);
+    GatewayFixture world(options);
     world.Publish(LargeConfig(world, 1));
     world.StartGateway();
     world.store.SetTrouble(trouble);
@@ -104,7 +104,7 @@
     this->published = value;
   }
   bool RunUntilCurrent() {
-    Time until = Now() + kTestPatience;
+    Time until = Now() + kTestTimeout;
     while (this->newest != this->published && Now() < until) this->loop.RunOnce(milliseconds(20));
     return this->newest == this->published;
   }
@@ -186,7 +186,7 @@
     store.Put(kConfigTopic, kConfigKey, std::string(kVersionBytes, 'x'));
   }
   prover.Tick(Time{}, Now());
-  Time until = Now() + kTestPatience;
+  Time until = Now() + kTestTimeout;
   while (!is_behind && Now() < until) loop.RunOnce(milliseconds(20));
   BOOST_TEST(is_behind);
   BOOST_TEST(store.bytes_answered() <= 2 * kVersionBytes);
@@ -207,7 +207,7 @@
 // What a gateway's configuration does not hold may stand in the newer one that it knows to
 // exist, so it must not be denied: the caller is told to come back.
 BOOST_AUTO_TEST_CASE(NothingIsDeniedByAConfigurationThatIsKnownToBeOld) {
-  GatewayWorld world({});
+  GatewayFixture world({});
   world.Publish(LargeConfig(world, 1));
   world.StartGateway();
   std::string unknown_key = world.SafeRequest("k");
--- a/src/gateway/testing/config_from_peers_test.cc
+++ b/src/gateway/testing/config_from_peers_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/testing/document_writer.h"
 
 namespace gullward {
@@ -19,7 +19,7 @@
 
 // The world's gateway, and one more whose store is a copy of the world's that nobody writes to.
 struct TwoStores {
-  explicit TwoStores(const WorldOptions& options) : world(options), copy(&world.loop) {
+  explicit TwoStores(const GatewayFixtureOptions& options) : world(options), copy(&world.loop) {
     this->Publish(1);
     this->world.StartGateway();
     this->copy.Put("keyed.op", "config", this->world.store.Newest("keyed.op", "config"));
@@ -28,7 +28,7 @@
     BOOST_TEST_REQUIRE(this->world.RunUntil(
         [this] { return !this->world.store.Newest(kOwnTopic, "box-1").empty(); }));
     this->CopyRecord(kOwnTopic, "box-1");
-    this->world.AddGatewayAt(this->copy.address());
+    this->world.AddGatewayWithStore(this->copy.address());
     BOOST_TEST_REQUIRE(
         this->world.RunUntil([this] { return !this->copy.Newest(kOwnTopic, "box-2").empty(); }));
     this->world.store.Put(kOwnTopic, "box-2", this->copy.Newest(kOwnTopic, "box-2"));
@@ -71,13 +71,13 @@
     return all;
   }
 
-  GatewayWorld world;
+  GatewayFixture world;
   StoreStandin copy;
 };
 
 BOOST_AUTO_TEST_CASE(WhatTheStoreWithholdsAPeerHandsOn) {
   for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.key_trust = seconds(4);
     TwoStores stores(options);
     stores.copy.SetTrouble(trouble);
@@ -90,7 +90,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(SwitchedOffItWaitsForTheStore) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.key_trust = seconds(2);
   options.mechanisms.config_from_peers = false;
   TwoStores stores(options);
--- a/src/gateway/testing/crashing_request_test.cc
+++ b/src/gateway/testing/crashing_request_test.cc
@@ -23,7 +23,7 @@
 
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 
 namespace gullward {
@@ -37,10 +37,10 @@
 bool EndsEngines(const CallerRequest& request) { return absl::StartsWith(request.body, kDeadly); }
 
 // Engines that are back 300 ms after they have ended.
-std::unique_ptr<GatewayWorld> StartedWorld(int engines = 12) {
-  WorldOptions options{.engines = engines};
+std::unique_ptr<GatewayFixture> StartedWorld(int engines = 12) {
+  GatewayFixtureOptions options{.engines = engines};
   options.engine.ends_it = EndsEngines;
-  auto world = std::make_unique<GatewayWorld>(options);
+  auto world = std::make_unique<GatewayFixture>(options);
   world->LetEnginesReturnAfter(milliseconds(300));
   world->Publish(world->DefaultConfig());
   world->StartGateway();
@@ -56,7 +56,7 @@
 
 // Sends one deadly content again and again, each time by the next gateway, until it is
 // refused or `most` tries have been made; tells how many were.
-int SendUntilRefused(GatewayWorld* world, const std::string& body, int most) {
+int SendUntilRefused(GatewayFixture* world, const std::string& body, int most) {
   for (int i = 0; i < most; ++i) {
     size_t gateway = static_cast<size_t>(i) % (world->more_gateways.size() + 1);
     Reply reply = world->Call(world->StreamRequest(absl::StrCat(body, "-", i), "", body), gateway);
--- a/src/gateway/testing/engine_leaving_test.cc
+++ b/src/gateway/testing/engine_leaving_test.cc
@@ -23,7 +23,7 @@
 
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 #include "platform/testing/document_writer.h"
 
@@ -33,29 +33,30 @@
 constexpr Duration kPause = milliseconds(3);
 const EngineNotice kLeaving{.leaving = true};
 
-std::unique_ptr<GatewayWorld> StartedWorld(const WorldOptions& options, int gateways = 1) {
-  auto world = std::make_unique<GatewayWorld>(options);
+std::unique_ptr<GatewayFixture> StartedWorld(const GatewayFixtureOptions& options,
+                                             int gateways = 1) {
+  auto world = std::make_unique<GatewayFixture>(options);
   world->Publish(world->DefaultConfig());
   world->StartGateway();
   while (world->more_gateways.size() + 1 < static_cast<size_t>(gateways)) world->AddGateway();
   return world;
 }
 
-std::vector<std::shared_ptr<Reply>> SendMany(GatewayWorld* world, int count,
+std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* world, int count,
                                              const std::string& name) {
   return world->SendMany(count, name, kPause,
                          [world](const std::string& id) { return world->StreamRequest(id); });
 }
 
 // The engine that short requests fill first.
-EngineStandin& FirstInOrder(GatewayWorld* world) {
+EngineStandin& FirstInOrder(GatewayFixture* world) {
   BOOST_REQUIRE(world->Call(world->StreamRequest("first")).head.status == 200);
   auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
   return **std::find_if(world->engines.begin(), world->engines.end(), has_seen);
 }
 
 // Has the engine tell the first gateway.
-void LetTell(GatewayWorld* world, EngineStandin* engine) {
+void LetTell(GatewayFixture* world, EngineStandin* engine) {
   engine->Say(kLeaving);
   size_t before = engine->seen().size();
   BOOST_REQUIRE(world->Call(world->StreamRequest("told")).head.status == 200);
@@ -162,7 +163,7 @@
 
 // It ends by plan, though its entry still says ready: nothing that ran there is the cause.
 BOOST_AUTO_TEST_CASE(ItsEndIsBlamedOnNoRequest) {
-  WorldOptions options{.engines = 2};
+  GatewayFixtureOptions options{.engines = 2};
   options.engine.events = 1000;
   auto world = StartedWorld(options);
   auto running = world->Send(world->StreamRequest("running"));
@@ -206,7 +207,7 @@
 BOOST_AUTO_TEST_CASE(WhatWaitsForAConnectionIsTakenElsewhere) {
   // Changes of the list are read at once, long before a connection that does not come about is
   // given up.
-  WorldOptions options{.apps = 1, .leaving_bound = milliseconds(100)};
+  GatewayFixtureOptions options{.apps = 1, .leaving_bound = milliseconds(100)};
   options.mechanisms.leave_silent_engines = false;
   auto world = StartedWorld(options);
   FullListener full(&world->loop);
--- a/src/gateway/testing/engine_limit_test.cc
+++ b/src/gateway/testing/engine_limit_test.cc
@@ -19,7 +19,7 @@
 
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 
 namespace gullward {
@@ -33,22 +33,22 @@
 // Between two requests of a caller.
 constexpr Duration kPause = milliseconds(17);
 
-std::unique_ptr<GatewayWorld> StartedWorld(int engines, int gateways) {
-  auto world = std::make_unique<GatewayWorld>(WorldOptions{.engines = engines});
+std::unique_ptr<GatewayFixture> StartedWorld(int engines, int gateways) {
+  auto world = std::make_unique<GatewayFixture>(GatewayFixtureOptions{.engines = engines});
   world->Publish(world->DefaultConfig());
   world->StartGateway();
   while (world->more_gateways.size() + 1 < static_cast<size_t>(gateways)) world->AddGateway();
   return world;
 }
 
-std::vector<std::shared_ptr<Reply>> SendMany(GatewayWorld* world, int count,
+std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* world, int count,
                                              const std::string& name) {
   return world->SendMany(count, name, kPause,
                          [world](const std::string& id) { return world->StreamRequest(id); });
 }
 
 // Each gateway passes on an answer of the only engine.
-void LetEngineTellAll(GatewayWorld* world) {
+void LetEngineTellAll(GatewayFixture* world) {
   for (size_t gateway = 0; gateway <= world->more_gateways.size(); ++gateway) {
     BOOST_REQUIRE(world->RunUntil([&] {
       std::string request = world->StreamRequest(absl::StrCat("told-", gateway));
@@ -70,7 +70,7 @@
 }
 
 // The engines that any request so far has named as its readers.
-std::vector<EngineStandin*> Readers(const GatewayWorld& world) {
+std::vector<EngineStandin*> Readers(const GatewayFixture& world) {
   std::string named;
   for (const auto& engine : world.engines) {
     for (const EngineStandin::Seen& seen : engine->seen()) {
@@ -85,7 +85,7 @@
   return found;
 }
 
-std::string VastRequest(const GatewayWorld& world, const std::string& id) {
+std::string VastRequest(const GatewayFixture& world, const std::string& id) {
   std::string request = world.StreamRequest(id);
   return request.replace(request.find("1000,80"), 7, "200000,80");
 }
--- a/src/gateway/testing/engine_rest_test.cc
+++ b/src/gateway/testing/engine_rest_test.cc
@@ -20,7 +20,7 @@
 
 #include "absl/strings/match.h"
 #include "absl/strings/numbers.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 
 namespace gullward {
@@ -29,33 +29,33 @@
 constexpr Duration kRest = milliseconds(1500);
 constexpr Duration kPause = milliseconds(20);
 
-std::unique_ptr<GatewayWorld> StartedWorld(int apps, int gateways = 1) {
-  auto world = std::make_unique<GatewayWorld>(WorldOptions{.engines = 1, .apps = apps});
+std::unique_ptr<GatewayFixture> StartedWorld(int apps, int gateways = 1) {
+  auto world = std::make_unique<GatewayFixture>(GatewayFixtureOptions{.engines = 1, .apps = apps});
   world->Publish(world->DefaultConfig());
   world->StartGateway();
   while (world->more_gateways.size() + 1 < static_cast<size_t>(gateways)) world->AddGateway();
   return world;
 }
 
-std::vector<std::shared_ptr<Reply>> SendMany(GatewayWorld* world, int count,
+std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* world, int count,
                                              const std::string& name) {
   return world->SendMany(count, name, kPause,
                          [world](const std::string& id) { return world->SafeRequest(id); });
 }
 
 // The plain service's engine that an idle gateway takes first.
-EngineStandin& FirstInOrder(GatewayWorld* world) {
+EngineStandin& FirstInOrder(GatewayFixture* world) {
   BOOST_REQUIRE(world->Call(world->SafeRequest("first")).head.status == 200);
   auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
   return **std::find_if(world->apps.begin(), world->apps.end(), has_seen);
 }
 
-EngineStandin& Other(GatewayWorld* world, const EngineStandin& engine) {
+EngineStandin& Other(GatewayFixture* world, const EngineStandin& engine) {
   return *world->apps[world->apps[0].get() == &engine ? 1 : 0];
 }
 
 // Has the engine ask the first gateway for a pause; tells when it ends.
-Time AskForRest(GatewayWorld* world, EngineStandin* engine) {
+Time AskForRest(GatewayFixture* world, EngineStandin* engine) {
   engine->Say({.rest = kRest});
   size_t before = engine->seen().size();
   world->Call(world->SafeRequest("asks"));
@@ -119,10 +119,10 @@
 
 // The memory of a prompt that runs is kept, but the engine is not asked more than it takes.
 BOOST_AUTO_TEST_CASE(ATicketThereIsProlongedAsLateAsItMayBe) {
-  WorldOptions options{.engines = 2};
+  GatewayFixtureOptions options{.engines = 2};
   options.engine.events = 60;
   options.engine.event_every = milliseconds(60);
-  auto world = std::make_unique<GatewayWorld>(options);
+  auto world = std::make_unique<GatewayFixture>(options);
   world->Publish(world->DefaultConfig());
   world->StartGateway();
   std::string vast = world->StreamRequest("vast");
--- a/src/gateway/testing/engine_restart_test.cc
+++ b/src/gateway/testing/engine_restart_test.cc
@@ -6,7 +6,7 @@
 
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 #include "platform/testing/document_writer.h"
 
@@ -15,15 +15,15 @@
 
 constexpr const char* kEngines = "keyed.servers";
 
-std::unique_ptr<GatewayWorld> StartedWorld(const WorldOptions& options) {
-  auto world = std::make_unique<GatewayWorld>(options);
+std::unique_ptr<GatewayFixture> StartedWorld(const GatewayFixtureOptions& options) {
+  auto world = std::make_unique<GatewayFixture>(options);
   world->Publish(world->DefaultConfig());
   world->StartGateway();
   return world;
 }
 
 // Lists a life of an engine.
-void ListLife(GatewayWorld* world, const EngineStandin& engine, const std::string& service,
+void ListLife(GatewayFixture* world, const EngineStandin& engine, const std::string& service,
               int64_t born) {
   EngineRecord record{engine.id(), service, engine.address(), "hall-1", 16, false, born};
   world->store.Put(kEngines, engine.id(), platform::EngineDocument(record));
@@ -31,7 +31,7 @@
 
 // Sends requests that may be repeated, a few at a time so that each idle engine gets one,
 // until `engine` has got one.
-bool ServesSoon(GatewayWorld* world, const EngineStandin& engine) {
+bool ServesSoon(GatewayFixture* world, const EngineStandin& engine) {
   constexpr int kAtOnce = 4;
   size_t before = engine.seen().size();
   int calls = 0;
@@ -98,7 +98,7 @@
 // An engine that has started again holds nothing; its ticket must not be asked for anew
 // by what was meant to prolong it.
 BOOST_AUTO_TEST_CASE(TicketsOfAnEarlierLifeAreNotProlonged) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.engines = 2;
   // Long enough for two prolongations.
   options.engine.events = 10;
@@ -142,7 +142,7 @@
       {"deep", "x-5", std::string(20'000, '[')},
   };
   for (bool before_start : {true, false}) {
-    GatewayWorld world({.engines = 1, .apps = 1});
+    GatewayFixture world({.engines = 1, .apps = 1});
     world.Publish(world.DefaultConfig());
     if (!before_start) world.StartGateway();
     for (const ForeignRow& row : table) world.store.Put(kEngines, row.key, row.value);
--- a/src/gateway/testing/gateway_world.cc
+++ b/src/gateway/testing/gateway_fixture.cc
@@ -1,6 +1,6 @@
 // The configuration that tests begin with, and callers that collect their answers.
 
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 
 #include <glog/logging.h>
 
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-GatewayWorld::GatewayWorld(const WorldOptions& world_options)
+GatewayFixture::GatewayFixture(const GatewayFixtureOptions& world_options)
     : store(&this->loop), options(world_options) {
   for (int i = 0; i < this->options.engines; ++i) {
     EngineStandin::Options engine = this->options.engine;
@@ -64,13 +64,13 @@
   }
 }
 
-GatewayWorld::~GatewayWorld() {
+GatewayFixture::~GatewayFixture() {
   this->callers.clear();
   this->more_gateways.clear();
   this->gateway.reset();
 }
 
-json GatewayWorld::DefaultConfig() const {
+json GatewayFixture::DefaultConfig() const {
   ServingConfig config;
   config.version = 1;
   config.routes = {RouteTo(kModels, "chat", "/chat/", Repeat::kResumeStream),
@@ -83,18 +83,18 @@
   return platform::ConfigDocument(config);
 }
 
-void GatewayWorld::Publish(const json& config) {
+void GatewayFixture::Publish(const json& config) {
   this->store.Put("keyed.op", "config", config.dump());
 }
 
-void GatewayWorld::ListEngine(const EngineStandin& engine, const std::string& service,
-                              bool draining) {
+void GatewayFixture::ListEngine(const EngineStandin& engine, const std::string& service,
+                                bool draining) {
   EngineRecord record{engine.id(), service, engine.address(), "hall-1", 16, draining};
   this->store.Put("keyed.servers", engine.id(), platform::EngineDocument(record));
 }
 
-std::unique_ptr<GatewayServer> GatewayWorld::NewUnreadyGateway(size_t number,
-                                                               const SocketAddress& at_store) {
+std::unique_ptr<GatewayServer> GatewayFixture::NewUnreadyGateway(size_t number,
+                                                                 const SocketAddress& at_store) {
   GatewaySettings settings;
   settings.box = absl::StrCat("box-", number);
   settings.data_centre = "hall-1";
@@ -113,16 +113,16 @@
   return server;
 }
 
-std::unique_ptr<GatewayServer> GatewayWorld::NewGateway(size_t number,
-                                                        const SocketAddress& at_store) {
+std::unique_ptr<GatewayServer> GatewayFixture::NewGateway(size_t number,
+                                                          const SocketAddress& at_store) {
   std::unique_ptr<GatewayServer> server = this->NewUnreadyGateway(number, at_store);
   CHECK(this->RunUntil([&server] { return server->IsReady(); }));
   return server;
 }
 
-void GatewayWorld::StartGateway() { this->gateway = this->NewGateway(1, this->store.address()); }
+void GatewayFixture::StartGateway() { this->gateway = this->NewGateway(1, this->store.address()); }
 
-void GatewayWorld::AddGateway() {
+void GatewayFixture::AddGateway() {
   this->more_gateways.push_back(
       this->NewGateway(this->more_gateways.size() + 2, this->store.address()));
   size_t others = this->more_gateways.size();
@@ -133,20 +133,20 @@
   }));
 }
 
-void GatewayWorld::AddGatewayUnready() {
+void GatewayFixture::AddGatewayUnready() {
   this->more_gateways.push_back(
       this->NewUnreadyGateway(this->more_gateways.size() + 2, this->store.address()));
 }
 
-void GatewayWorld::AddGatewayAt(const SocketAddress& other_store) {
+void GatewayFixture::AddGatewayWithStore(const SocketAddress& other_store) {
   this->more_gateways.push_back(this->NewGateway(this->more_gateways.size() + 2, other_store));
 }
 
-const GatewayServer& GatewayWorld::Gateway(size_t number) const {
+const GatewayServer& GatewayFixture::Gateway(size_t number) const {
   return number == 0 ? *this->gateway : *this->more_gateways[number - 1];
 }
 
-void GatewayWorld::OnEngineEnded(size_t number) {
+void GatewayFixture::OnEngineEnded(size_t number) {
   this->ended += 1;
   if (!this->return_after) return;
   EngineStandin* engine = this->engines[number].get();
@@ -158,8 +158,8 @@
   });
 }
 
-bool GatewayWorld::RunUntil(const std::function<bool()>& condition) {
-  Time until = Now() + kTestPatience;
+bool GatewayFixture::RunUntil(const std::function<bool()>& condition) {
+  Time until = Now() + kTestTimeout;
   while (!condition()) {
     if (Now() > until) return false;
     this->loop.RunOnce(milliseconds(20));
@@ -167,26 +167,26 @@
   return true;
 }
 
-std::string GatewayWorld::StreamRequest(const std::string& id, const std::string& more_headers,
-                                        const std::string& body) const {
+std::string GatewayFixture::StreamRequest(const std::string& id, const std::string& more_headers,
+                                          const std::string& body) const {
   return absl::StrCat("POST /chat/x HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: ", id,
                       "\r\nModel: m\r\nToken-Count: 1000,80\r\nPrompt-Prefix: aa:1000\r\n",
                       "Deadline-Ms: 8000\r\nX-Api-Key: key-1\r\n", more_headers,
                       "Content-Length: ", body.size(), "\r\n\r\n", body);
 }
 
-std::string GatewayWorld::SafeRequest(const std::string& id) const {
+std::string GatewayFixture::SafeRequest(const std::string& id) const {
   return absl::StrCat("GET /app/look/x HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: ", id,
                       "\r\nDeadline-Ms: 4000\r\nX-Api-Key: key-1\r\n\r\n");
 }
 
-std::string GatewayWorld::OnceRequest(const std::string& id, const std::string& body) const {
+std::string GatewayFixture::OnceRequest(const std::string& id, const std::string& body) const {
   return absl::StrCat("POST /app/order/x HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: ", id,
                       "\r\nDeadline-Ms: 4000\r\nX-Api-Key: key-2\r\nContent-Length: ", body.size(),
                       "\r\n\r\n", body);
 }
 
-std::shared_ptr<Reply> GatewayWorld::Send(const std::string& request, size_t gateway_number) {
+std::shared_ptr<Reply> GatewayFixture::Send(const std::string& request, size_t gateway_number) {
   auto reply = std::make_shared<Reply>();
   SocketAddress address{"127.0.0.1", this->Gateway(gateway_number).callers_port()};
   auto channel = RequestChannel::Open(&this->loop, address);
@@ -202,13 +202,13 @@
   return reply;
 }
 
-Reply GatewayWorld::Call(const std::string& request, size_t gateway_number) {
+Reply GatewayFixture::Call(const std::string& request, size_t gateway_number) {
   std::shared_ptr<Reply> reply = this->Send(request, gateway_number);
   CHECK(this->RunUntil([&] { return reply->done; })) << request;
   return *reply;
 }
 
-std::vector<std::shared_ptr<Reply>> GatewayWorld::SendMany(
+std::vector<std::shared_ptr<Reply>> GatewayFixture::SendMany(
     int count, const std::string& name, Duration pause,
     const std::function<std::string(const std::string& id)>& make) {
   std::vector<std::shared_ptr<Reply>> replies;
@@ -225,7 +225,7 @@
   return replies;
 }
 
-int GatewayWorld::RunsOf(const std::string& id) const {
+int GatewayFixture::RunsOf(const std::string& id) const {
   int runs = 0;
   auto count = [&](const std::vector<std::unique_ptr<EngineStandin>>& list) {
     for (const auto& engine : list) {
--- a/src/gateway/testing/gateway_world.h
+++ b/src/gateway/testing/gateway_fixture.h
@@ -1,16 +1,16 @@
 // A gateway with a store, engines and callers around it, all on one event loop:
 // what the bench plays, small enough for a test.
 //
-//   GatewayWorld world({.engines = 3});
+//   GatewayFixture world({.engines = 3});
 //   world.Publish(world.DefaultConfig());
 //   world.StartGateway();
 //   Reply reply = world.Call(world.StreamRequest("a1"));
 //
 // Sockets are real and time is real, but no test waits for a time: RunUntil runs
-// the loop until a condition holds and fails after kTestPatience.
+// the loop until a condition holds and fails after kTestTimeout.
 
-#ifndef GULLWARD_GATEWAY_TESTING_GATEWAY_WORLD_H_
-#define GULLWARD_GATEWAY_TESTING_GATEWAY_WORLD_H_
+#ifndef GULLWARD_GATEWAY_TESTING_GATEWAY_FIXTURE_H_
+#define GULLWARD_GATEWAY_TESTING_GATEWAY_FIXTURE_H_
 
 #include <functional>
 #include <memory>
@@ -28,9 +28,9 @@
 
 namespace gullward {
 
-inline constexpr Duration kTestPatience = seconds(60);
+inline constexpr Duration kTestTimeout = seconds(60);
 
-struct WorldOptions {
+struct GatewayFixtureOptions {
   int engines = 3;
   int apps = 2;
   EngineStandin::Options engine = {};
@@ -56,10 +56,10 @@
   bool whole() const { return this->result == ChannelResult::kWholeAnswer; }
 };
 
-class GatewayWorld {
+class GatewayFixture {
  public:
-  explicit GatewayWorld(const WorldOptions& world_options);
-  ~GatewayWorld();
+  explicit GatewayFixture(const GatewayFixtureOptions& world_options);
+  ~GatewayFixture();
 
   nlohmann::json DefaultConfig() const;
   void Publish(const nlohmann::json& config);
@@ -73,7 +73,7 @@
   // Starts one more and does not wait.
   void AddGatewayUnready();
   // Starts one more that has a store of its own, and waits until it is ready.
-  void AddGatewayAt(const SocketAddress& other_store);
+  void AddGatewayWithStore(const SocketAddress& other_store);
 
   // Engines that end are back after `delay` each, under an id of their own.
   void LetEnginesReturnAfter(Duration delay) { this->return_after = delay; }
@@ -121,7 +121,7 @@
   const GatewayServer& Gateway(size_t number) const;
   void OnEngineEnded(size_t engine);
 
-  WorldOptions options;
+  GatewayFixtureOptions options;
   std::optional<Duration> return_after;
   int ended = 0;
   std::vector<std::shared_ptr<RequestChannel>> callers;
@@ -129,4 +129,4 @@
 
 }  // namespace gullward
 
-#endif  // GULLWARD_GATEWAY_TESTING_GATEWAY_WORLD_H_
+#endif  // GULLWARD_GATEWAY_TESTING_GATEWAY_FIXTURE_H_
--- a/src/gateway/testing/gateway_test.cc
+++ b/src/gateway/testing/gateway_test.cc
@@ -9,7 +9,7 @@
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
 #include "gateway/settings.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 #include "serving/gateway_entry.h"
 
@@ -22,8 +22,8 @@
     "id: 1\ndata: event-1\n\nid: 2\ndata: event-2\n\n"
     "id: 3\ndata: event-3\n\nid: 4\ndata: event-4\n\n";
 
-std::unique_ptr<GatewayWorld> StartedWorld(const WorldOptions& options = {}) {
-  auto world = std::make_unique<GatewayWorld>(options);
+std::unique_ptr<GatewayFixture> StartedWorld(const GatewayFixtureOptions& options = {}) {
+  auto world = std::make_unique<GatewayFixture>(options);
   world->Publish(world->DefaultConfig());
   world->StartGateway();
   return world;
@@ -39,7 +39,7 @@
 }
 
 // An engine that the first request at any engine names as a helper.
-EngineStandin* HelperOfFirstRequest(const GatewayWorld& world) {
+EngineStandin* HelperOfFirstRequest(const GatewayFixture& world) {
   for (const auto& engine : world.engines) {
     if (engine->seen().empty()) continue;
     std::string helpers = HeaderOf(engine->seen().front().request.head, platform::kReaders);
@@ -141,7 +141,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ACallerThatLeavesIsCancelledAtTheEngine) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.engine.events = 1'000'000;
   auto world = StartedWorld(options);
   std::shared_ptr<Reply> reply = world->Send(world->StreamRequest("gone"));
@@ -255,7 +255,7 @@
 
 BOOST_AUTO_TEST_CASE(KeysAreVouchedForOnlyWhileTheStoreWasReadLately) {
   for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.key_trust = milliseconds(600);
     auto world = StartedWorld(options);
     json config = world->DefaultConfig();
@@ -319,7 +319,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(WhereTakingKeysAwayIsNotBoundedASilentStoreRefusesNobody) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.key_trust = milliseconds(600);
   options.key_trust_mode = KeyTrust::kUntilChanged;
   auto world = StartedWorld(options);
@@ -409,7 +409,7 @@
   RemindedFollower reminded;
   reminded.store.SetTrouble(StoreTrouble::kSlowBody);
   reminded.store.Put("keyed.op", "config", std::string(50'000, 'x'));
-  reminded.RunFor(kTestPatience);
+  reminded.RunFor(kTestTimeout);
   BOOST_TEST(reminded.has_news);
 }
 
@@ -423,7 +423,7 @@
   BOOST_TEST(reminded.renewals >= 1);
   BOOST_TEST(reminded.renewals <= 3);
   reminded.store.SetTrouble(StoreTrouble::kNone);
-  reminded.RunFor(kTestPatience);
+  reminded.RunFor(kTestTimeout);
   BOOST_TEST(reminded.has_news);
 }
 
@@ -462,7 +462,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AListOfManyPagesIsReadWhole) {
-  GatewayWorld world({.engines = 7, .apps = 1});
+  GatewayFixture world({.engines = 7, .apps = 1});
   world.store.SetPageSize(2);
   world.Publish(world.DefaultConfig());
   world.StartGateway();
@@ -498,7 +498,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AStopFinishesWhatIsUnderWayAndThenTakesNothing) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.engine.events = 100;
   auto world = StartedWorld(options);
   auto reply = world->Send(world->StreamRequest("stop"));
@@ -519,7 +519,7 @@
 // Seen on the bench (LOST): a kept connection brought a request seconds after the
 // stop, and the exit cut its answer.
 BOOST_AUTO_TEST_CASE(AnIdleConnectionIsClosedOnceTheBalancerHasNoticedTheStop) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.engine.events = 1'000'000;
   auto world = StartedWorld(options);
   // Keeps the stop from ending early.
@@ -541,7 +541,7 @@
 // A restart costs the others nothing: the entry that is there stays.
 BOOST_AUTO_TEST_CASE(AGatewayThatStartsAgainWritesItsEntryOnlyIfItHasMoved) {
   const std::string topic(platform::kPeersTopic);
-  GatewayWorld world({});
+  GatewayFixture world({});
   world.Publish(world.DefaultConfig());
   world.peers_address = {"127.0.0.1", 0};
   world.StartGateway();
@@ -620,7 +620,7 @@
   BOOST_TEST(chosen->seen().size() - before <= 4u);
 }
 
-GatewaySettings SecondGateway(const GatewayWorld& world) {
+GatewaySettings SecondGateway(const GatewayFixture& world) {
   GatewaySettings settings;
   settings.box = "box-2";
   settings.data_centre = "hall-2";
--- a/src/gateway/testing/retry_budget_test.cc
+++ b/src/gateway/testing/retry_budget_test.cc
@@ -34,7 +34,7 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 #include "serving/fleet.h"
 #include "serving/gateway_entry.h"
@@ -183,7 +183,7 @@
 
 // Datagrams go to a bounded number of peers, but the slack is divided among all there are.
 BOOST_AUTO_TEST_CASE(EveryGatewayCountsHoweverManyAreTold) {
-  GatewayWorld world({});
+  GatewayFixture world({});
   constexpr size_t kPeers = 60;
   for (size_t i = 0; i < kPeers; ++i) {
     world.store.Put(std::string(platform::kPeersTopic), absl::StrCat("peer-", i),
@@ -196,7 +196,7 @@
 }
 
 // Requests that reached an engine, second attempts included.
-size_t ArrivalsOf(const GatewayWorld& world, const std::string& id) {
+size_t ArrivalsOf(const GatewayFixture& world, const std::string& id) {
   size_t count = 0;
   for (const auto* list : {&world.engines, &world.apps}) {
     for (const auto& engine : *list) {
@@ -218,11 +218,11 @@
   };
   // Where nothing stands still, the window is longer than a loaded machine takes to send ten
   // requests: with one second it stood still for the whole of it now and then.
-  const Row table[] = {{kTestPatience, Duration(0)}, {seconds(1), milliseconds(1500)}};
+  const Row table[] = {{kTestTimeout, Duration(0)}, {seconds(1), milliseconds(1500)}};
   for (const auto& [window, pause] : table) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.retry = {.window = window, .ratio = 1, .slack = 0};
-    GatewayWorld world(options);
+    GatewayFixture world(options);
     for (const auto& app : world.apps) app->FailAll(EngineFault::kFailed);
     world.Publish(world.DefaultConfig());
     world.StartGateway();
@@ -247,7 +247,7 @@
 // The loop does not run between a caller's request and its close, as in a process that
 // stands still: both lie in the buffers when it goes on.
 BOOST_AUTO_TEST_CASE(ARequestWhoseCallerHasLeftReachesNoEngine) {
-  GatewayWorld world({});
+  GatewayFixture world({});
   world.Publish(world.DefaultConfig());
   world.StartGateway();
   // Connections to engines are kept from here on, so a request could go out at once.
--- a/src/gateway/testing/store_return_test.cc
+++ b/src/gateway/testing/store_return_test.cc
@@ -18,7 +18,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "gateway/crash_watch.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "serving/quarantine_entry.h"
 
 namespace gullward {
@@ -129,7 +129,7 @@
 
 // Versions of the world's configuration: each has a route of its own, and the second key only
 // where it has not been taken away.
-json Version(const GatewayWorld& world, int version, bool with_second_key = true) {
+json Version(const GatewayFixture& world, int version, bool with_second_key = true) {
   json config = world.DefaultConfig();
   config["version"] = version;
   json route = config["routes"][1];
@@ -140,23 +140,23 @@
   return config;
 }
 
-std::string RequestFor(const GatewayWorld& world, int version) {
+std::string RequestFor(const GatewayFixture& world, int version) {
   std::string request = world.SafeRequest(absl::StrCat("to-", version));
   const std::string old_path = "/app/look/x";
   request.replace(request.find(old_path), old_path.size(), absl::StrCat("/version/", version, "/"));
   return request;
 }
 
-bool IsServed(GatewayWorld* world, const std::string& request, size_t gateway = 0) {
+bool IsServed(GatewayFixture* world, const std::string& request, size_t gateway = 0) {
   return world->Call(request, gateway).head.status == 200;
 }
 
 // Whoever says that its keys are current has the newest version, though as many records stand
 // in the topic again as it had read.
 BOOST_AUTO_TEST_CASE(NoProofByAnOffsetThatWasGivenOutAgain) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.key_trust = milliseconds(600);
-  GatewayWorld world(options);
+  GatewayFixture world(options);
   world.store.SetEpoch("1");
   world.Publish(Version(world, 1));
   world.store.SaveCopy();
@@ -179,7 +179,7 @@
 // A version that was in force stays in force while the store has an older one, and what it
 // allows is served on.
 BOOST_AUTO_TEST_CASE(NothingGoesBack) {
-  GatewayWorld world({});
+  GatewayFixture world({});
   world.store.SetEpoch("1");
   world.Publish(Version(world, 1));
   world.store.SaveCopy();
@@ -206,9 +206,9 @@
   // With what a peer hands on, the newer version is in force before the store has it again;
   // without, nothing is known of it.
   for (bool from_peers : {false, true}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.mechanisms.config_from_peers = from_peers;
-    GatewayWorld world(options);
+    GatewayFixture world(options);
     world.store.SetEpoch("1");
     world.Publish(Version(world, 1));
     world.store.SaveCopy();
@@ -237,9 +237,9 @@
 // listed again, does not undo it.
 BOOST_AUTO_TEST_CASE(AnEngineThatIsKnownToLeaveGetsNothingByAnOlderCopy) {
   for (bool says_so : {true, false}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.engines = 1;
-    GatewayWorld world(options);
+    GatewayFixture world(options);
     world.store.SetEpoch("1");
     world.Publish(world.DefaultConfig());
     world.store.SaveCopy();
@@ -262,9 +262,9 @@
 
 // An engine that came in the seconds that the store has lost works on.
 BOOST_AUTO_TEST_CASE(AnEngineThatTheCopyLacksIsNotGone) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.engines = 1;
-  GatewayWorld world(options);
+  GatewayFixture world(options);
   world.store.SetEpoch("1");
   world.Publish(world.DefaultConfig());
   EngineStandin& newcomer = *world.engines[0];
@@ -286,9 +286,9 @@
 
 // What gateways wrote in the lost seconds they write again, each its own and once.
 BOOST_AUTO_TEST_CASE(GatewaysWriteTheirOwnEntriesAgainOnce) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.key_trust = milliseconds(600);
-  GatewayWorld world(options);
+  GatewayFixture world(options);
   world.store.SetEpoch("1");
   world.Publish(world.DefaultConfig());
   world.store.SaveCopy();
@@ -347,7 +347,7 @@
   world.watch->OnStoreReturn(now);
   Time all_drawn = now + QuarantineStore::kOthersWait + QuarantineStore::kOthersSpread;
   world.watch->TickSlowly(all_drawn + seconds(1));
-  Time until = Now() + kTestPatience;
+  Time until = Now() + kTestTimeout;
   while (world.store.appended(kOwnTopic) == 0 && Now() < until) {
     world.loop.RunOnce(milliseconds(5));
   }
--- a/src/gateway/testing/suspension_test.cc
+++ b/src/gateway/testing/suspension_test.cc
@@ -21,7 +21,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "absl/strings/match.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 
 namespace {
 
@@ -52,7 +52,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(KeysAreNotReliedOnAfterASuspension) {
-  GatewayWorld world({.engines = 1, .apps = 1});
+  GatewayFixture world({.engines = 1, .apps = 1});
   world.Publish(world.DefaultConfig());
   world.StartGateway();
   BOOST_TEST(world.Call(world.SafeRequest("before")).head.status == 200);
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-#include "gateway/notice_listener.h"
+#include "gateway/notice_receiver.h"
 #include "platform/engine_calls.h"
 
 namespace gullward {
@@ -39,7 +39,7 @@
   RequestChannel::Hooks hooks;
   hooks.head = [self = this->shared_from_this(), weak, engine = wish.engine,
                 sent = Now()](const ResponseHead& head) {
-    HearNotice(self->state, engine, head, sent);
+    ReceiveNotice(self->state, engine, head, sent);
     if (auto pending = weak.lock()) pending->status = head.status;
   };
   hooks.done = [self = this->shared_from_this(), weak, engine = wish.engine](ChannelResult result) {
--- a/src/standins/engine_standin.cc
+++ b/src/standins/engine_standin.cc
@@ -25,7 +25,7 @@
   if (fault == EngineFault::kForeignFirst) {
     AnswerHead foreign = *head;
     foreign.headers.front().second = "another-request";
-    channel->AnswerAhead(foreign, "not yours");
+    channel->WriteUnsolicitedAnswer(foreign, "not yours");
   }
 }
 
@@ -216,7 +216,8 @@
   if (next > this->options.events) {
     connection->request.reset();
     channel->EndAnswer();
-    if (fault == EngineFault::kExtraAfter) channel->AnswerAhead(this->Plain(200), "once more");
+    if (fault == EngineFault::kExtraAfter)
+      channel->WriteUnsolicitedAnswer(this->Plain(200), "once more");
     return;
   }
   channel->WritePart(Event(next));
@@ -244,7 +245,7 @@
     return;
   }
   channel->Answer(head, kBody);
-  if (fault == EngineFault::kExtraAfter) channel->AnswerAhead(head, kBody);
+  if (fault == EngineFault::kExtraAfter) channel->WriteUnsolicitedAnswer(head, kBody);
 }
 
 }  // namespace gullward
