--- a/src/gateway/admission.cc
+++ b/src/gateway/admission.cc
@@ -1,5 +1,5 @@
-// The order of the checks decides which code a caller sees: the route, then the
-// account, then the request's own header fields.
+// If several checks would fail, the first one decides which code the caller receives.  The
+// order is: route, account, header fields of the request.
 
 #include "gateway/admission.h"
 
@@ -14,9 +14,10 @@
 
 std::string Path(const std::string& target) { return target.substr(0, target.find('?')); }
 
-// A request that `config` does not allow may be allowed by a newer configuration.  Where
-// there is one, or may be one for all that has been proved, the caller is told to come back
-// instead of being denied for good: callers do not return after a 401 or a 404.
+// Returns `why` if `config` is the newest configuration, else kNotCurrent.  A newer
+// configuration may allow a request that `config` does not.  If there is one, or if `config` has
+// not been validated lately, the caller is asked to try again, since callers do not return
+// after a 401 or a 404.
 ResultCode Deny(const GatewayState& state, const ConfigIndex& config, ResultCode why, Time now) {
   bool is_newest = config.config().version >= state.newest_peer_version && state.keys.IsFresh(now);
   return is_newest ? why : ResultCode::kNotCurrent;
@@ -45,12 +46,12 @@
   if (admission->route == nullptr) {
     return Deny(state, *config, ResultCode::kUnknownRoute, now);
   }
-  ResultCode by_account = AdmitAccount(state, *config, request, now, admission);
-  if (by_account != ResultCode::kOk) return by_account;
+  ResultCode account_code = AdmitAccount(state, *config, request, now, admission);
+  if (account_code != ResultCode::kOk) return account_code;
   if (!facts.valid) return ResultCode::kInvalidHeader;
-  Duration patience = facts.timeout.value_or(admission->route->timeout);
-  admission->caller_waits_until = request.arrived + patience;
-  admission->answer_by = request.arrived + std::min(patience, admission->route->timeout);
+  Duration timeout = facts.timeout.value_or(admission->route->timeout);
+  admission->caller_deadline = request.arrived + timeout;
+  admission->answer_deadline = request.arrived + std::min(timeout, admission->route->timeout);
   return ResultCode::kOk;
 }
 
--- a/src/gateway/admission.h
+++ b/src/gateway/admission.h
@@ -1,11 +1,12 @@
-// Whether a request is let in, and on what terms: its route, its client account
-// and its time.
+// Admission control: whether a request is accepted, and with which route, client account
+// and deadlines.
 //
 //   Admission admission;
 //   ResultCode code = Admit(state, config, request, facts, now, &admission);
 //   if (code != ResultCode::kOk) ...   // answer with the code
 //
-// Whether engines have room for it is decided later (serving/placement.h).
+// Admission does not consider the load of engines; serving/placement.h and
+// serving/refusal.h do so later.
 
 #ifndef GULLWARD_GATEWAY_ADMISSION_H_
 #define GULLWARD_GATEWAY_ADMISSION_H_
@@ -20,28 +21,31 @@
 
 namespace gullward {
 
+// The result of admission.
 struct Admission {
-  // Owned by the configuration; null until one has been found.
+  // Owned by the configuration; null if no route matches.
   const Route* route = nullptr;
-  // The client account's name; empty where the route asks for none.
+  // The name of the client account; empty if the route needs none.
   std::string account;
-  // Whether the request runs by the word of an API key, which we must be able to
-  // vouch for at every attempt.
+  // Whether the request is authorized by an API key.  The key must be vouched for at every
+  // attempt, since it may be revoked meanwhile (serving/freshness.h).
   bool needs_key = false;
-  // When the answer must be final.
-  Time answer_by{};
+  // When the answer must be complete.
+  Time answer_deadline{};
   // When the caller gives up.
-  Time caller_waits_until{};
+  Time caller_deadline{};
 
   bool operator==(const Admission&) const = default;
 };
 
-// Fills in `admission` as far as it comes and returns kOk, or why the request is
-// turned away.  `config` may be null: none has been read yet.
+// Returns kOk and fills in `admission`, or returns the reason why the request is refused.
+// On a refusal the fields found so far stay filled in.  `config` may be null, which means that
+// no configuration has been read yet.
 ResultCode Admit(const GatewayState& state, const ConfigIndex* config, const CallerRequest& request,
                  const RequestFacts& facts, Time now, Admission* admission);
 
-// Draws one of a route's services by their weights; null where there is none.
+// Returns a random service of the route, with probabilities in proportion to the weights; null
+// if no service has a positive weight or the chosen service does not exist.
 const Service* PickService(const ConfigIndex& config, const Route& route, std::mt19937_64* random);
 
 }  // namespace gullward
--- a/src/gateway/answer_times.cc
+++ b/src/gateway/answer_times.cc
@@ -1,4 +1,4 @@
-// A route without an aim for pauses has no late ones.
+// A route whose longest pause is zero has no aim for pauses, so no pause is late there.
 
 #include "gateway/answer_times.h"
 
@@ -23,7 +23,7 @@
 void AnswerTimes::Count(const Route& route, double prompt_tokens, Duration first,
                         GatewayCounters* counters) const {
   if (route.streaming) {
-    const char* length = LengthName(prompt_tokens);
+    const char* length = PromptLengthLabel(prompt_tokens);
     counters->first_event[length].Add(first);
     counters->longest_pause[length].Add(this->longest_pause);
   } else {
--- a/src/gateway/answer_times.h
+++ b/src/gateway/answer_times.h
@@ -1,8 +1,8 @@
-// When the parts of one answer came, held against the route's aims: for the metrics
-// and for the log.
+// Measures when the parts of one answer arrive from the engine and compares the times with the
+// aims of the route, for the metrics and the log.
 //
 //   AnswerTimes times(request.arrived);
-//   times.NoteEvent(now);                          // for each event that goes on
+//   times.NoteEvent(now);                          // for each read that holds whole events
 //   Duration first = times.FirstAfter(route, now);  // at the answer's end
 //   times.Count(route, prompt_tokens, first, &counters);
 //   if (times.IsLate(route, first)) times.Describe(route, first, &line);
@@ -20,21 +20,22 @@
  public:
   explicit AnswerTimes(Time request_arrived) : arrived(request_arrived) {}
 
-  // Whole events of a stream have come in.
+  // Records the arrival of whole events of a stream.
   void NoteEvent(Time now);
 
-  // From the request's arrival to a stream's first event, or to the whole of an
-  // answer that is no stream and that ends now.
+  // Returns the time from the request's arrival to the first event of a stream.  For an answer
+  // that is not a stream, returns the time to `now`, when the answer is whole.
   Duration FirstAfter(const Route& route, Time now) const;
 
-  // Adds an answer that ended well to the histograms.
+  // Adds a successful answer to the histograms.
   void Count(const Route& route, double prompt_tokens, Duration first,
              GatewayCounters* counters) const;
 
-  // Whether the first event, or a later one, came later than the route aims at.
+  // Whether the first event (or the whole answer) missed the route's objective, or a pause
+  // between two events of a stream was longer than the route aims at.
   bool IsLate(const Route& route, Duration first) const;
 
-  // Adds the times and the aims to a line, in milliseconds.
+  // Adds the times and the aims to a log line, in milliseconds.
   void Describe(const Route& route, Duration first, LogLine* line) const;
 
   bool operator==(const AnswerTimes&) const = default;
@@ -43,8 +44,9 @@
   Time arrived;
   // From the request's arrival to the first event.
   Duration first_event_after{};
-  // The longest time between two events.
+  // The longest time between two arrivals of events.
   Duration longest_pause{};
+  // Time{} before the first event.
   Time last_event_at{};
 };
 
--- a/src/gateway/caller_channel.cc
+++ b/src/gateway/caller_channel.cc
@@ -1,5 +1,5 @@
-// The phases of a caller's connection: idle, reading a request, awaiting or
-// writing its answer, closed; and the framing of answers.
+// A connection has four phases: idle, reading a request, awaiting or writing its answer, and
+// closed.
 
 #include "gateway/caller_channel.h"
 
@@ -11,7 +11,7 @@
 namespace gullward {
 namespace {
 
-// What a caller that asks before it sends a body is told.
+// Sent to a caller that asks for permission before it sends a body (Expect: 100-continue).
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 ResultCode CodeOf(ParseState state) {
@@ -78,7 +78,8 @@
   this->hooks.request(std::move(this->request));
 }
 
-// What follows a malformed request cannot be told apart from it.
+// Closes the connection after the answer, because the end of a malformed request is unknown and
+// the next request could not be found.
 void CallerChannel::Reject(ResultCode code) {
   this->phase = Phase::kAnswering;
   this->closing = true;
@@ -87,7 +88,7 @@
 
 void CallerChannel::OnClosed() {
   this->phase = Phase::kClosed;
-  // A copy: the owner may drop this channel.
+  // A copy, because the owner may destroy this channel in the hook.
   std::function<void()> gone = this->hooks.gone;
   if (gone) gone();
 }
@@ -122,7 +123,7 @@
                                 bool unframed) {
   if (this->phase != Phase::kAnswering) return;
   this->chunked = !length && !unframed && this->request.head.chunks_allowed;
-  // Without chunks only the end of the connection can end the answer.
+  // Without a length or chunks, only the end of the connection can end the answer.
   if (!length && !this->chunked) this->closing = true;
   this->stream->Write(this->HeadText(head, length));
 }
--- a/src/gateway/caller_channel.h
+++ b/src/gateway/caller_channel.h
@@ -1,20 +1,20 @@
-// A caller's connection: requests in, one at a time, and their answers out.
+// The server side of an HTTP/1.1 connection: reads one request at a time and writes its answer.
 //
-// The channel reads a request whole, hands it to its owner and waits; what the
-// caller sends meanwhile waits too.  The owner answers in one piece or in parts:
+// The channel reads a whole request, passes it to its owner through a hook, and reads the next
+// request only after the answer has ended.  Pipelined requests wait in the buffer.  The owner
+// answers in one piece or in parts:
 //
 //   channel->Answer(AnswerHead{503, "Service Unavailable", {...}}, body);
 //
-//   channel->BeginAnswer(head, std::nullopt);     // length not known: chunks
+//   channel->BeginAnswer(head, std::nullopt);     // unknown length: chunked
 //   channel->WritePart(bytes);
 //   channel->EndAnswer();                         // or BreakOff()
 //
-// An answer that was broken off never looks complete: the connection ends with a
-// reset before its last chunk or byte.
+// An answer that is broken off never looks complete: the connection is reset before its last
+// chunk or byte.
 //
-// Nothing here knows of engines: this is a plain HTTP server's end of a
-// connection.  The operators' pages and the stand-ins of tests use it as such;
-// to them, "the caller" is whoever connected.
+// The class has no dependency on engines.  The operators' pages and the stand-ins of tests use
+// it as a plain HTTP server; there, "the caller" is the client that connected.
 
 #ifndef GULLWARD_GATEWAY_CALLER_CHANNEL_H_
 #define GULLWARD_GATEWAY_CALLER_CHANNEL_H_
@@ -32,17 +32,17 @@
 
 namespace gullward {
 
-// A request, read whole.
+// A request that has been read whole.
 struct CallerRequest {
   RequestHead head;
   std::string body;
-  // When its first byte came.
+  // When the first byte arrived.
   Time arrived;
 
   bool operator==(const CallerRequest&) const = default;
 };
 
-// The head of an answer; the channel adds the fields that frame its body.
+// The head of an answer.  The channel adds the header fields that frame the body.
 struct AnswerHead {
   int status = 200;
   std::string reason;
@@ -54,12 +54,13 @@
 class CallerChannel : public std::enable_shared_from_this<CallerChannel> {
  public:
   struct Hooks {
+    // A whole request was read; the owner must answer it.
     std::function<void(CallerRequest)> request;
-    // The request cannot be served as it was sent; the owner answers it.
+    // The request is malformed, too large or stalled; the owner must answer it.
     std::function<void(ResultCode)> malformed;
-    // The caller has gone away.
+    // The caller has disconnected.
     std::function<void()> gone;
-    // What was written has left for the caller.
+    // All bytes written so far have been handed to the kernel.
     std::function<void()> drained;
   };
 
@@ -68,33 +69,35 @@
 
   void SetHooks(Hooks new_hooks) { this->hooks = std::move(new_hooks); }
 
-  // Answers in one piece.
+  // Writes an answer in one piece.
   void Answer(const AnswerHead& head, std::string_view body);
-  // Without a length the answer goes in chunks; `unframed`, by the connection's end.
+  // Writes the head of an answer in parts.  Without a `length` the body is chunked.  If
+  // `unframed` is true, or the caller's HTTP version does not allow chunks, the end of the
+  // connection ends the body.
   void BeginAnswer(const AnswerHead& head, std::optional<uint64_t> length, bool unframed = false);
   void WritePart(std::string_view bytes);
   void EndAnswer();
+  // Resets the connection, so that the answer is incomplete for the caller.
   void BreakOff();
 
-  // Writes a whole answer that is to no request, as a faulty server would: for
-  // stand-ins.
+  // Writes a whole answer that belongs to no request, as a faulty server would.  For stand-ins.
   void WriteUnsolicitedAnswer(const AnswerHead& head, std::string_view body);
 
-  // The answer under way is the last one on this connection.
+  // Closes the connection after the answer under way.
   void CloseAfterAnswer() { this->closing = true; }
 
-  // Closes if no request is under way.
+  // Closes the connection if no request is under way.
   void CloseIfIdle();
 
-  // Looks at the clock: answers stalled requests, closes idle connections.
+  // Rejects requests that have stalled and closes idle connections.  To be called regularly.
   void Tick(Time now);
 
   bool is_closed() const { return this->phase == Phase::kClosed; }
 
-  // Bytes that the caller has not read yet.
+  // The number of bytes written that are still buffered in this process.
   size_t pending() const { return this->stream->pending(); }
 
-  // Whether the caller has closed the connection, also where that has not been read yet.
+  // Whether the caller has closed the connection, even if the close has not been read yet.
   bool HasLeft() const { return this->stream->PeerHasLeft(); }
 
  private:
@@ -119,7 +122,7 @@
   bool chunked = false;
   bool closing = false;
   Time idle_since = Now();
-  // When the last bytes of the request under way came.
+  // When the last bytes of the request under way arrived.
   Time last_bytes{};
 };
 
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -1,4 +1,4 @@
-// crash_watch.h tells the method.
+// Connects the test of lost engines, the shared quarantine, the store's entries and the log.
 
 #include "gateway/crash_watch.h"
 
@@ -23,9 +23,10 @@
       hooks(std::move(watch_hooks)),
       check(event_loop),
       shared(watch_options.box, watch_options.quarantine_duration, this->EventHooks()),
-      kept(event_loop, watch_options.store, store_recovery, watch_options.seed) {}
+      quarantine_store(event_loop, watch_options.store, store_recovery, watch_options.seed) {}
 
-// The lines by which operators follow a content.
+// Log lines that let operators follow a content from its first crashes to the end of its
+// quarantine.
 SharedQuarantine::Hooks CrashWatch::EventHooks() {
   SharedQuarantine::Hooks events;
   events.suspected = [this](ContentId content, size_t engines) {
@@ -33,11 +34,11 @@
                          .Text("content", ContentName(content))
                          .Number("engines", static_cast<double>(engines)));
   };
-  events.quarantined = [this](const QuarantineWord& word, const std::string& by) {
-    this->OnQuarantined(word, by);
+  events.quarantined = [this](const QuarantineWord& report, const std::string& by) {
+    this->OnQuarantined(report, by);
   };
   events.cleared = [this](ContentId content, bool was_quarantined, const std::string& by) {
-    this->kept.Remove(content, by == this->options.box, Now());
+    this->quarantine_store.Remove(content, by == this->options.box, Now());
     this->log->Write(LogLine(was_quarantined ? "quarantine_lifted" : "content_cleared")
                          .Text("content", ContentName(content))
                          .Text("by", by));
@@ -45,32 +46,32 @@
   return events;
 }
 
-void CrashWatch::OnQuarantined(const QuarantineWord& word, const std::string& by) {
-  size_t engines = this->quarantine().EnginesOf(word.content);
+void CrashWatch::OnQuarantined(const QuarantineWord& report, const std::string& by) {
+  size_t engines = this->quarantine().EnginesOf(report.content);
   this->log->Write(LogLine("content_quarantined")
-                       .Text("content", ContentName(word.content))
+                       .Text("content", ContentName(report.content))
                        .Text("by", by)
                        .Number("engines", static_cast<double>(engines))
-                       .Number("left_s", ToSeconds(word.left)));
-  this->Keep(word, by, this->witnessed.count(word.content) != 0, Now());
+                       .Number("left_s", ToSeconds(report.left)));
+  this->StoreEntry(report, by, this->witnessed.count(report.content) != 0, Now());
 }
 
-void CrashWatch::Keep(const QuarantineWord& word, const std::string& by, bool is_witness,
-                      Time now) {
+void CrashWatch::StoreEntry(const QuarantineWord& report, const std::string& by, bool is_witness,
+                            Time now) {
   QuarantineEntry entry;
-  entry.until_ms = UnixMillis() + static_cast<int64_t>(ToMillis(word.left));
+  entry.until_ms = UnixMillis() + static_cast<int64_t>(ToMillis(report.left));
   entry.judged_by = by;
-  entry.engines = static_cast<uint32_t>(this->quarantine().EnginesOf(word.content));
-  this->kept.Keep(word.content, entry, is_witness, now);
+  entry.engines = static_cast<uint32_t>(this->quarantine().EnginesOf(report.content));
+  this->quarantine_store.Keep(report.content, entry, is_witness, now);
 }
 
-// Everybody knows the contents, so everybody waits as long as those who are no witnesses; the
-// topic's word that an entry has outlived the return comes before.
+// All gateways hold the same contents, so all of them wait as long as gateways that did not see
+// the crash.  If an entry is still in the store, the topic shows it before this wait ends.
 void CrashWatch::OnStoreReturn(Time now) {
-  this->kept.OnStoreReturn();
+  this->quarantine_store.OnStoreReturn();
   for (ContentId content : this->quarantine().Quarantined(now)) {
     std::optional<Duration> left = this->quarantine().QuarantinedFor(content, now);
-    if (left) this->Keep({content, *left}, this->options.box, /*is_witness=*/false, now);
+    if (left) this->StoreEntry({content, *left}, this->options.box, /*is_witness=*/false, now);
   }
 }
 
@@ -79,14 +80,14 @@
   return this->quarantine().RefusedFor(content, now);
 }
 
-void CrashWatch::NoteBroken(const EngineRecord& engine, ContentId content, Time sent,
-                            const LogLine& line) {
+void CrashWatch::NoteBrokenAttempt(const EngineRecord& engine, ContentId content, Time sent,
+                                   const LogLine& line) {
   if (!this->options.is_enabled) return;
-  this->check.Ask(engine, [this, engine, content, sent, line](EngineFinding finding) {
+  this->check.Start(engine, [this, engine, content, sent, line](EngineFinding finding) {
     this->broken_count[finding] += 1;
     bool crashed = finding == EngineFinding::kGone && this->hooks.was_in_use(engine);
-    LogLine found = line;
-    this->log->Write(found.Text("found", NameOf(finding)).Number("crashed", crashed ? 1 : 0));
+    LogLine found_line = line;
+    this->log->Write(found_line.Text("found", NameOf(finding)).Number("crashed", crashed ? 1 : 0));
     if (!crashed) return;
     this->witnessed.insert(content);
     this->shared.NoteCrash({content, EngineKeyOf(engine.Incarnation())}, Now(), sent);
@@ -97,14 +98,14 @@
   if (this->options.is_enabled) this->shared.NoteAnswered(content, now);
 }
 
-CrashNews CrashWatch::ReceiveGossip(const std::string& peer, const CrashNews& news, Time now) {
-  return this->options.is_enabled ? this->shared.Hear(peer, news, now) : CrashNews{};
+CrashNews CrashWatch::ReceiveGossip(const std::string& peer, const CrashNews& gossip, Time now) {
+  return this->options.is_enabled ? this->shared.Hear(peer, gossip, now) : CrashNews{};
 }
 
 void CrashWatch::OnRecord(ContentId content, const std::string& value, Time now) {
   std::optional<QuarantineEntry> entry = DecodeQuarantineEntry(value);
-  bool counts = this->kept.OnRecord(content, entry);
-  if (!entry || !counts || !this->options.is_enabled) return;
+  bool is_current = this->quarantine_store.OnRecord(content, entry);
+  if (!entry || !is_current || !this->options.is_enabled) return;
   int64_t left_ms = entry->until_ms - UnixMillis();
   if (left_ms <= 0) return;
   left_ms =
@@ -116,7 +117,7 @@
   this->shared.Forget(now);
   std::erase_if(this->witnessed,
                 [this](ContentId content) { return !this->quarantine().Knows(content); });
-  this->kept.Tick(now, UnixMillis());
+  this->quarantine_store.Tick(now, UnixMillis());
 }
 
 }  // namespace gullward
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -1,14 +1,17 @@
-// What a gateway does about requests that end engines: it notes them, tells the others, refuses
-// them.
+// Detects requests that crash engines, and refuses them.
 //
-// An attempt that breaks off has its engine looked at (lost_engine_check.h).  Where the engine
-// is gone without having said that it would go, that counts against the request's content, and
-// all gateways hear of it (serving/shared_quarantine.h).  Once a content is in quarantine, every
-// gateway refuses it at once, and the store keeps it (quarantine_store.h).
+// A few requests crash every engine that runs them, and callers send them again.  Requests are
+// compared by their content, a hash of the account, method, path and body
+// (serving/request_content.h).  When the connection of an attempt breaks, the crash watch tests
+// whether the engine still accepts connections (lost_engine_check.h).  If the engine is gone
+// and was in use, the crash counts against the request's content, and all gateways receive a
+// report of it by gossip (serving/shared_quarantine.h).  Every gateway refuses a content that
+// is in quarantine, and the store holds the quarantine for gateways that start later
+// (quarantine_store.h).
 //
 //   if (std::optional<Duration> wait = watch.RefusedFor(content, now)) ...   // refuse
-//   watch.NoteBroken(engine, content, sent, line); // an attempt broke off
-//   watch.NoteAnswered(content, now);              // one was answered whole
+//   watch.NoteBrokenAttempt(engine, content, sent, line);
+//   watch.NoteAnswered(content, now);              // a request was answered whole
 //   watch.Tick(now);
 
 #ifndef GULLWARD_GATEWAY_CRASH_WATCH_H_
@@ -31,79 +34,89 @@
 class CrashWatch {
  public:
   struct Options {
-    // Off: nothing is noted, told or refused.
+    // If false, no crash is recorded, reported or acted on, and no content is refused.
     bool is_enabled = true;
+    // This gateway's box; names the source of its quarantine decisions.
     std::string box;
-    // How long a quarantine lasts.
+    // How long a content stays in quarantine.
     Duration quarantine_duration = std::chrono::hours(1);
     SocketAddress store;
     uint64_t seed = 0;
   };
   struct Hooks {
-    // Whether an engine was in use and had not said that it would leave.
+    // Whether an engine was listed and had not announced that it would leave.  The end of an
+    // engine that was leaving is planned, so no request is the cause.
     std::function<bool(const EngineRecord&)> was_in_use;
   };
 
   CrashWatch(EventLoop* event_loop, const Options& watch_options, StoreRecovery* store_recovery,
              EventLog* event_log, Hooks watch_hooks);
 
-  // For how long a content is not to be sent; nothing where it may be.
+  // For how long a content must not be sent; nullopt if it may be sent.
   std::optional<Duration> RefusedFor(ContentId content, Time now) const;
 
-  // Whether any content is under suspicion or in quarantine; while none is, nobody needs to
-  // work out the content of a request.
-  bool knows_any() const { return this->quarantine().knows_any(); }
-  // Whether a second engine may get a request that the first broke off.
+  // Whether any content is suspect or in quarantine.  While none is, the content of a request
+  // need not be computed.
+  bool has_records() const { return this->quarantine().knows_any(); }
+  // Whether a request may be sent to a second engine after its first attempt broke off.
   bool AllowsSecondAttempt(ContentId content) const {
     return this->quarantine().AllowsSecondAttempt(content);
   }
+  // Whether an engine has crashed while it had a request of this content.
   bool IsSuspect(ContentId content) const { return this->quarantine().CrashesOf(content) > 0; }
 
-  // An attempt at `engine` broke off that had been sent then; `line` tells of it and is written
-  // with what was found.
-  void NoteBroken(const EngineRecord& engine, ContentId content, Time sent, const LogLine& line);
+  // Records that an attempt broke off that was sent to `engine` at `sent`, and tests the engine.
+  // `line` is written to the log when the test ends, with its result.
+  void NoteBrokenAttempt(const EngineRecord& engine, ContentId content, Time sent,
+                         const LogLine& line);
 
-  // A request was answered whole.
+  // Records that a request was answered whole, which clears its content.
   void NoteAnswered(ContentId content, Time now);
 
-  // What a peer tells, and what it should be told in turn.
-  CrashNews ReceiveGossip(const std::string& peer, const CrashNews& news, Time now);
+  // Takes in a peer's gossip: crash reports, contents answered whole, and quarantine reports.
+  // Returns the gossip to be sent back to the peer.
+  CrashNews ReceiveGossip(const std::string& peer, const CrashNews& gossip, Time now);
 
-  // News to be told to a few peers; empty where there is none.
+  // Returns gossip to be sent to a few peers; empty if there is none.
   CrashNews TakeGossip() { return this->shared.TakeNews(); }
 
-  // An entry of the topic that the quarantine is kept in.
+  // Takes in an entry of the store topic that holds the quarantine.
   void OnRecord(ContentId content, const std::string& value, Time now);
 
-  // The store has returned without what was written lately: what is in quarantine is kept
-  // there again.
+  // To be called when the store has returned without its latest writes.  Writes every content
+  // that is in quarantine again.
   void OnStoreReturn(Time now);
 
-  // Often: judges what is due.
+  // Takes the quarantine decisions that are due.  To be called often.
   void Tick(Time now) { this->shared.Tick(now); }
-  // A few times a second: forgets what is over, writes to the store.
+  // Removes records that have expired and sends due writes to the store.  To be called a few
+  // times a second.
   void TickSlowly(Time now);
 
-  // Attempts that broke off, by what had become of the engine.
+  // The number of attempts that broke off, by the state in which the engine was found.
   const std::map<EngineFinding, uint64_t>& broken_attempts() const { return this->broken_count; }
+  // Connections opened to test engines.
   uint64_t connections() const { return this->check.connections(); }
-  uint64_t store_calls() const { return this->kept.store_calls(); }
+  // Calls to the store for quarantine entries.
+  uint64_t store_calls() const { return this->quarantine_store.store_calls(); }
+  // Items of gossip that were dropped because the queue was full.
   uint64_t gossip_dropped() const { return this->shared.news_dropped(); }
-  uint64_t unstored_entries() const { return this->kept.unkept(); }
+  // Quarantine entries for which the store topic had no room.
+  uint64_t unstored_entries() const { return this->quarantine_store.unkept(); }
   const Quarantine& quarantine() const { return this->shared.contents(); }
 
  private:
   SharedQuarantine::Hooks EventHooks();
-  void OnQuarantined(const QuarantineWord& word, const std::string& by);
-  void Keep(const QuarantineWord& word, const std::string& by, bool is_witness, Time now);
+  void OnQuarantined(const QuarantineWord& report, const std::string& by);
+  void StoreEntry(const QuarantineWord& report, const std::string& by, bool is_witness, Time now);
 
   Options options;
   EventLog* log;
   Hooks hooks;
   LostEngineCheck check;
   SharedQuarantine shared;
-  QuarantineStore kept;
-  // Contents under which this process itself lost an engine.
+  QuarantineStore quarantine_store;
+  // Contents whose requests from this process were on an engine when it crashed.
   std::unordered_set<ContentId> witnessed;
   std::map<EngineFinding, uint64_t> broken_count;
 };
--- a/src/gateway/engine_pool.cc
+++ b/src/gateway/engine_pool.cc
@@ -1,4 +1,5 @@
-// Last in, first out: the connection used last is the least likely to be closed.
+// Connections are reused last in, first out, because the engine is least likely to have closed
+// the one that was used last.
 
 #include "gateway/engine_pool.h"
 
@@ -22,10 +23,10 @@
 void EnginePool::Give(const EngineRecord& engine, const std::shared_ptr<RequestChannel>& channel,
                       Time now) {
   std::vector<Idle>& waiting = this->idle[engine.Incarnation()];
-  Duration keep = channel->keep_alive().value_or(kDefaultKeep + kKeepMargin) - kKeepMargin;
-  bool worth_keeping =
-      channel->reusable() && keep.count() > 0 && waiting.size() < kMostIdlePerEngine;
-  if (!worth_keeping) {
+  Duration keep =
+      channel->keep_alive().value_or(kDefaultKeepAlive + kKeepAliveMargin) - kKeepAliveMargin;
+  bool is_kept = channel->reusable() && keep.count() > 0 && waiting.size() < kMaxIdlePerEngine;
+  if (!is_kept) {
     channel->Close();
     return;
   }
@@ -35,10 +36,10 @@
 void EnginePool::Tick(Time now) {
   for (auto it = this->idle.begin(); it != this->idle.end();) {
     std::vector<Idle>& waiting = it->second;
-    auto is_over = [now](const Idle& entry) {
+    auto has_expired = [now](const Idle& entry) {
       return !entry.channel->reusable() || entry.until <= now;
     };
-    waiting.erase(std::remove_if(waiting.begin(), waiting.end(), is_over), waiting.end());
+    waiting.erase(std::remove_if(waiting.begin(), waiting.end(), has_expired), waiting.end());
     it = waiting.empty() ? this->idle.erase(it) : std::next(it);
   }
 }
--- a/src/gateway/engine_request.cc
+++ b/src/gateway/engine_request.cc
@@ -1,4 +1,4 @@
-// engine_request.h tells which fields go where.
+// The header fields of the platform are named in platform/headers.h.
 
 #include "gateway/engine_request.h"
 
@@ -11,22 +11,22 @@
 namespace gullward {
 namespace {
 
-// A caller that says a longer time is taken to wait for this long.
-constexpr uint64_t kLongestPatienceMs = 24ull * 3600 * 1000;
+// Longer timeouts of callers are reduced to this one.
+constexpr uint64_t kMaxTimeoutMs = 24ull * 3600 * 1000;
 
-bool IsPlainCount(std::string_view text, double* value) {
+bool ParseTokens(std::string_view text, double* value) {
   std::optional<uint64_t> count = ParseCount(text);
   if (!count) return false;
   *value = static_cast<double>(*count);
   return true;
 }
 
-// "PROMPT,ANSWER"; the second part may be missing.
+// Decodes "PROMPT,ANSWER", two counts of tokens; the second one may be missing.
 bool ReadTokenCount(std::string_view text, RequestFacts* facts) {
   size_t comma = text.find(',');
-  if (!IsPlainCount(text.substr(0, comma), &facts->prompt_tokens)) return false;
+  if (!ParseTokens(text.substr(0, comma), &facts->prompt_tokens)) return false;
   if (comma == std::string_view::npos) return true;
-  return IsPlainCount(text.substr(comma + 1), &facts->answer_tokens);
+  return ParseTokens(text.substr(comma + 1), &facts->answer_tokens);
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
   if (deadline) {
     std::optional<uint64_t> count = ParseCount(*deadline);
     facts.valid = count.has_value();
-    uint64_t bounded = std::min(count.value_or(0), kLongestPatienceMs);
+    uint64_t bounded = std::min(count.value_or(0), kMaxTimeoutMs);
     facts.timeout = milliseconds(bounded);
   }
   std::optional<std::string_view> tokens = FindHeader(head.headers, platform::kTokenCount);
@@ -58,18 +58,18 @@
   RemoveHopByHopHeaders(headers, platform::IsEndToEnd);
 }
 
-std::string EngineRequestText(const CallerRequest& request, const EngineOrders& orders) {
+std::string EngineRequestText(const CallerRequest& request, const AttemptHeaders& added) {
   std::string text = absl::StrCat(request.head.method, " ", request.head.target, " HTTP/1.1\r\n");
   for (const auto& [name, value] : request.head.headers) {
-    bool replaced = orders.last_event_id && SameHeaderName(name, platform::kLastEventId);
-    if (!replaced) AppendHeader(&text, name, value);
+    bool is_replaced = added.last_event_id && SameHeaderName(name, platform::kLastEventId);
+    if (!is_replaced) AppendHeader(&text, name, value);
   }
-  AppendHeader(&text, platform::kDeadlineMs, absl::StrCat(ToMillis(orders.time_left)));
-  AppendHeader(&text, platform::kExpectedEngine, orders.engine_id);
-  if (!orders.account.empty()) AppendHeader(&text, platform::kAccount, orders.account);
-  if (orders.last_event_id) AppendHeader(&text, platform::kLastEventId, *orders.last_event_id);
-  if (!orders.readers.empty()) {
-    AppendHeader(&text, platform::kReaders, absl::StrJoin(orders.readers, ","));
+  AppendHeader(&text, platform::kDeadlineMs, absl::StrCat(ToMillis(added.time_left)));
+  AppendHeader(&text, platform::kExpectedEngine, added.engine_id);
+  if (!added.account.empty()) AppendHeader(&text, platform::kAccount, added.account);
+  if (added.last_event_id) AppendHeader(&text, platform::kLastEventId, *added.last_event_id);
+  if (!added.readers.empty()) {
+    AppendHeader(&text, platform::kReaders, absl::StrJoin(added.readers, ","));
   }
   bool has_body = !request.body.empty() || request.head.method == "POST" ||
                   request.head.method == "PUT" || request.head.method == "PATCH";
--- a/src/gateway/engine_request.h
+++ b/src/gateway/engine_request.h
@@ -1,7 +1,9 @@
-// The text of a request as an engine gets it.
+// Converts a caller's request into the request that is sent to an engine.
 //
-// A caller's fields go on unchanged, but for those of the connection and those
-// that only we may set; then come ours.
+// The caller's header fields are forwarded unchanged, except for fields that apply to one
+// connection (hop-by-hop) and fields that only the gateway may set; these are removed.  The
+// gateway's own fields follow: the time left, the expected engine, the account, the readers, and
+// the event after which a stream resumes.
 
 #ifndef GULLWARD_GATEWAY_ENGINE_REQUEST_H_
 #define GULLWARD_GATEWAY_ENGINE_REQUEST_H_
@@ -17,45 +19,48 @@
 
 namespace gullward {
 
-// What a caller's head tells about the request, decoded.
+// Facts about a request, decoded from the header fields of the caller.
 struct RequestFacts {
+  // Empty if the caller sends none.
   std::string attempt_id;
-  // For how long the caller waits; nothing if it does not say.
+  // For how long the caller waits, at most a day; nullopt if the caller does not say.
   std::optional<Duration> timeout;
+  // Lengths in tokens as stated by the caller; 0 if not stated.
   double prompt_tokens = 0;
   double answer_tokens = 0;
-  // Whether all fields could be read.
+  // Whether all fields could be decoded.
   bool valid = true;
 
   bool operator==(const RequestFacts&) const = default;
 };
 
-// Reads them; what cannot be read leaves `valid` false.
+// Decodes the facts.  If a field cannot be decoded, `valid` is false.
 RequestFacts ReadFacts(const RequestHead& head);
 
-// What we add to a request for one attempt.
-struct EngineOrders {
-  // Until the answer must be final.
+// The values of the header fields that the gateway adds for one attempt.
+struct AttemptHeaders {
+  // The time in which the answer must be complete.
   Duration time_left;
   std::string engine_id;
-  // Empty where the route needs no account.
+  // Empty if the route needs no account.
   std::string account;
-  // Engines that help to read the prompt, each with its ticket if it holds memory.
+  // Engines that read parts of the prompt (platform::ReaderText), each with its ticket if it
+  // holds memory.
   std::vector<std::string> readers;
-  // Set where a stream is taken up after this event.
+  // If set, the engine is to resume the stream after this event.
   std::optional<std::string> last_event_id;
 
-  bool operator==(const EngineOrders&) const = default;
+  bool operator==(const AttemptHeaders&) const = default;
 };
 
-// Drops from a caller's fields what an engine must not get.
+// Removes the caller's header fields that an engine must not receive.
 void KeepForwardedHeaders(HttpHeaders* headers);
 
-// Drops from an engine's fields what a caller must not get.
+// Removes the engine's header fields that a caller must not receive.
 void KeepAnsweredHeaders(HttpHeaders* headers);
 
-// The whole request: first line, fields and body.
-std::string EngineRequestText(const CallerRequest& request, const EngineOrders& orders);
+// Returns the text of the whole request: request line, header fields and body.
+std::string EngineRequestText(const CallerRequest& request, const AttemptHeaders& added);
 
 }  // namespace gullward
 
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -1,8 +1,8 @@
-// In the order of a request's course: admitted, an engine chosen, an attempt sent,
-// its answer passed on, and what follows when it ends.  What it writes to the log is
-// in exchange_log.cc; how it asks engines for memory, in exchange_tickets.cc; when it stops
-// waiting, in exchange_timeouts.cc; what it does about requests that end engines, in
-// exchange_crashes.cc.
+// The functions stand in the order in which a request reaches them: admission, choice of
+// an engine, sending an attempt, forwarding its answer, and the decision when the attempt
+// ends.  Other files hold the rest of the class: exchange_log.cc the log lines,
+// exchange_tickets.cc the reservation of memory on readers, exchange_timeouts.cc deadlines
+// and silent engines, and exchange_crashes.cc requests that crash engines.
 
 #include "gateway/exchange.h"
 
@@ -18,13 +18,13 @@
 namespace gullward {
 namespace {
 
-// An answer of up to this size is held until it is whole, so that an engine that
-// breaks off can be replaced without the caller noticing.
-constexpr size_t kHeldAnswerBytes = 256 << 10;
-// A caller with more unread bytes than this is not read for any further.
-constexpr size_t kMostUnreadBytes = 256 << 10;
-// A caller that waits for less than this share of the route's time has spent the
-// rest on earlier tries.
+// A plain answer of up to this many bytes is held until it is whole, so that the request can be
+// sent to another engine if the connection breaks, without any effect on the caller.
+constexpr size_t kMaxHeldAnswerBytes = 256 << 10;
+// While the caller has more unread bytes than this, nothing is read from the engine.
+constexpr size_t kMaxUnreadBytes = 256 << 10;
+// A request whose timeout is below this share of the route's timeout counts as a caller's
+// repeated try: the caller has spent the rest of the time on earlier tries.
 constexpr double kFirstTryShare = 0.95;
 }  // namespace
 
@@ -40,9 +40,10 @@
 
 void Exchange::Start(Time now) {
   this->state->counters.requests += 1;
-  // Where this process stood still for seconds, most of what it finds to read is from
-  // callers that have left since.  Engines need not work on that; and counted as requests
-  // of now it would allow second attempts that the shared bound does not.
+  // After this process has been suspended for seconds, most requests that it reads come from
+  // callers that have disconnected since.  Running these requests would waste engine time,
+  // and counting them as new requests would allow more second attempts than the bound that
+  // all gateways share.
   if (this->caller->HasLeft()) {
     this->CallerGone();
     return;
@@ -68,38 +69,38 @@
   this->StartAttempt(now);
 }
 
-// What the choice of engines must know of the request.
-Demand Exchange::DemandOfRequest() {
+// The properties of the request that the choice of engines depends on.
+Demand Exchange::MakeDemand() {
   const Route& route = *this->admission.route;
   Demand demand;
   demand.prompt_tokens = this->facts.prompt_tokens;
   demand.answer_tokens = this->facts.answer_tokens;
   demand.objective_ms = ToSeconds(route.objective) * 1000;
   demand.pause_ms = ToSeconds(route.longest_pause) * 1000;
-  Duration patience = this->admission.caller_waits_until - this->request.arrived;
-  demand.came_back = patience < kFirstTryShare * route.timeout;
+  Duration timeout = this->admission.caller_deadline - this->request.arrived;
+  demand.came_back = timeout < kFirstTryShare * route.timeout;
   CrashWatch& watch = *this->state->crash_watch;
-  bool is_suspect = this->broke_off || (watch.knows_any() && watch.IsSuspect(this->Content()));
+  bool is_suspect = this->broke_off || (watch.has_records() && watch.IsSuspect(this->Content()));
   if (is_suspect) demand.scatter_by = this->Content();
   return demand;
 }
 
 void Exchange::StartAttempt(Time now) {
-  bool keys_hold = !this->admission.needs_key || this->state->keys.IsFresh(now);
-  if (!keys_hold) {
-    this->FollowUnsent(now);
+  bool key_is_vouched = !this->admission.needs_key || this->state->keys.IsFresh(now);
+  if (!key_is_vouched) {
+    this->ApplyStepUnsent(now);
     return;
   }
-  Demand demand = this->DemandOfRequest();
+  Demand demand = this->MakeDemand();
   std::optional<FleetChoice> choice =
       this->state->fleet.Choose(*this->service, demand, this->tried, now);
   if (!choice) {
-    this->FollowUnsent(now);
+    this->ApplyStepUnsent(now);
     return;
   }
   bool first_time = this->attempts == 0 && this->ticket_rounds == 0;
-  bool by_cost = this->state->fleet.mechanisms().refusal_by_cost;
-  if (first_time && by_cost && ShouldRefuse(choice->placement, demand)) {
+  bool refuses_by_cost = this->state->fleet.mechanisms().refusal_by_cost;
+  if (first_time && refuses_by_cost && ShouldRefuse(choice->placement, demand)) {
     this->LogOverload(choice->placement, demand);
     this->Refuse(ResultCode::kOverloaded);
     return;
@@ -116,9 +117,9 @@
   this->state->counters.attempts += 1;
   if (choice.spilled) this->state->counters.spilled += 1;
   this->tried.insert(choice.engine.Incarnation());
-  this->BookLoad(choice, now);
-  // What must not run twice must not meet a kept connection that is just being
-  // closed: nobody could tell whether it ran.
+  this->RecordLoad(choice, now);
+  // A request that must not run twice gets a new connection.  An engine may close a kept
+  // connection just as the request is sent, and then it is unknown whether the request ran.
   bool fresh = this->admission.route->repeat == Repeat::kNever;
   this->attempt = Attempt{};
   this->attempt->engine = choice.engine;
@@ -129,24 +130,25 @@
   this->state->fleet.NoteSent(choice.engine, now);
   this->attempt->channel = this->state->pool.Take(choice.engine, now, fresh);
   this->LogAttempt(choice, now);
-  this->attempt->channel->Send(EngineRequestText(this->request, this->OrdersFor(choice, now)),
+  this->attempt->channel->Send(EngineRequestText(this->request, this->HeadersFor(choice, now)),
                                this->AttemptHooks(), this->request.head.method == "HEAD");
 }
 
-EngineOrders Exchange::OrdersFor(const FleetChoice& choice, Time now) const {
-  EngineOrders orders;
-  orders.time_left = this->admission.answer_by - now;
-  orders.engine_id = choice.engine.id;
-  orders.account = this->admission.account;
+AttemptHeaders Exchange::HeadersFor(const FleetChoice& choice, Time now) const {
+  AttemptHeaders headers;
+  headers.time_left = this->admission.answer_deadline - now;
+  headers.engine_id = choice.engine.id;
+  headers.account = this->admission.account;
   for (size_t i = 0; i < choice.readers.size(); ++i) {
     std::string ticket = this->tickets ? this->tickets->tickets()[i].ticket : "";
-    orders.readers.push_back(platform::ReaderText(choice.readers[i].address, ticket));
+    headers.readers.push_back(platform::ReaderText(choice.readers[i].address, ticket));
   }
-  orders.last_event_id = this->last_event_id;
-  return orders;
+  headers.last_event_id = this->last_event_id;
+  return headers;
 }
 
-// The exchange may be gone by the time an engine answers.
+// The hooks hold a weak pointer, because the exchange may be destroyed before the engine
+// answers.  An answer that echoes the id of another attempt is not accepted.
 RequestChannel::Hooks Exchange::AttemptHooks() {
   std::weak_ptr<Exchange> weak = this->weak_from_this();
   std::string attempt_id = this->facts.attempt_id;
@@ -167,7 +169,7 @@
   return hooks;
 }
 
-void Exchange::BookLoad(const FleetChoice& choice, Time now) {
+void Exchange::RecordLoad(const FleetChoice& choice, Time now) {
   std::vector<WorkPart> parts;
   WorkPart main;
   main.engine = choice.engine.Incarnation();
@@ -198,9 +200,9 @@
   answer.sealed = FindHeader(head.headers, platform::kSeal).has_value();
   answer.says_not_run = FindHeader(head.headers, platform::kNotRun).has_value();
   answer.encoded = FindHeader(head.headers, "Content-Encoding").has_value();
-  this->attempt->verdict = Classify(answer);
-  bool refused = this->attempt->verdict == AttemptResult::kNotRun ||
-                 this->attempt->verdict == AttemptResult::kWrongEngine;
+  this->attempt->head_result = Classify(answer);
+  bool refused = this->attempt->head_result == AttemptResult::kNotRun ||
+                 this->attempt->head_result == AttemptResult::kWrongEngine;
   if (refused) this->attempt->reader_at_fault = this->ReaderAtFault(head);
 }
 
@@ -217,18 +219,18 @@
 void Exchange::OnBody(std::string_view bytes) {
   if (!this->attempt) return;
   this->attempt->last_progress = Now();
-  bool passing = this->attempt->verdict == AttemptResult::kSuccess;
+  bool passing = this->attempt->head_result == AttemptResult::kSuccess;
   if (passing && this->admission.route->streaming) {
-    this->PassEvents(bytes);
+    this->ForwardEvents(bytes);
   } else {
-    this->PassBody(bytes);
+    this->ForwardBody(bytes);
   }
-  if (this->attempt && this->caller->pending() > kMostUnreadBytes) {
+  if (this->attempt && this->caller->pending() > kMaxUnreadBytes) {
     this->attempt->channel->SetReading(false);
   }
 }
 
-void Exchange::PassEvents(std::string_view bytes) {
+void Exchange::ForwardEvents(std::string_view bytes) {
   WholeEvents whole = this->attempt->events.Feed(bytes);
   if (whole.count == 0) return;
   if (!this->attempt->any_event) this->NoteFirstEvent();
@@ -239,9 +241,11 @@
   this->caller->WritePart(whole.bytes);
 }
 
-// A stream that is late already has nothing more to lose by a pause.  Where its worth
-// was still counted, engines that were free for all practical purposes seemed too dear
-// to read vast prompts: 0.009 of all worth together with telling readings at once.
+// Marks the stream as late in the load figures once it has missed an aim of its route.  A
+// further pause then costs the stream nothing.  While late streams still counted, engines that were
+// practically free seemed too expensive to read very long prompts.  Leaving late streams out,
+// together with sending the start of each reading to peers at once, gained 0.009 of the value of
+// all requests.
 void Exchange::NoteEvent() {
   this->times.NoteEvent(Now());
   const Route& route = *this->admission.route;
@@ -255,14 +259,14 @@
   this->state->fleet.loads().FirstEvent(this->id);
 }
 
-void Exchange::PassBody(std::string_view bytes) {
+void Exchange::ForwardBody(std::string_view bytes) {
   if (this->answer_begun) {
     this->caller->WritePart(bytes);
     return;
   }
   this->attempt->body.append(bytes);
-  bool too_large_to_hold = this->attempt->body.size() > kHeldAnswerBytes;
-  if (!too_large_to_hold || this->attempt->verdict != AttemptResult::kSuccess) return;
+  bool too_large_to_hold = this->attempt->body.size() > kMaxHeldAnswerBytes;
+  if (!too_large_to_hold || this->attempt->head_result != AttemptResult::kSuccess) return;
   this->BeginAnswer(this->attempt->head.content_length);
   this->caller->WritePart(std::exchange(this->attempt->body, {}));
 }
@@ -272,8 +276,8 @@
   this->caller->BeginAnswer(this->TakeAnswerHead(), length);
 }
 
-// The head for the caller.  Its fields move out of the attempt, since there is one
-// answer only.
+// Returns the answer's head for the caller.  The header fields are moved out of the attempt,
+// so this may be called once per answer.
 AnswerHead Exchange::TakeAnswerHead() {
   AnswerHead head;
   head.status = this->attempt->head.status;
@@ -286,10 +290,10 @@
 AttemptResult Exchange::ResultOf(ChannelResult result) const {
   if (result == ChannelResult::kNotSent) return AttemptResult::kNotRun;
   if (result != ChannelResult::kWholeAnswer) return AttemptResult::kUnknown;
-  bool torn = this->attempt->verdict == AttemptResult::kSuccess &&
-              this->admission.route->streaming &&
-              (this->attempt->events.has_rest() || !this->answer_begun);
-  return torn ? AttemptResult::kUnknown : this->attempt->verdict;
+  bool is_incomplete = this->attempt->head_result == AttemptResult::kSuccess &&
+                       this->admission.route->streaming &&
+                       (this->attempt->events.has_rest() || !this->answer_begun);
+  return is_incomplete ? AttemptResult::kUnknown : this->attempt->head_result;
 }
 
 void Exchange::OnDone(ChannelResult channel_result) {
@@ -300,16 +304,17 @@
   this->broke_off = channel_result == ChannelResult::kBroken ||
                     channel_result == ChannelResult::kClosedUnanswered;
   if (this->broke_off) this->NoteBrokenOff();
-  if (channel_result == ChannelResult::kWholeAnswer) this->NoteWhole(result);
+  if (channel_result == ChannelResult::kWholeAnswer) this->NoteWholeAnswer(result);
   this->AfterAttempt(result);
 }
 
-// An engine that cannot help (it has gone, leaves, or is full of such work) makes the
-// one that was asked refuse the whole prompt, within a millisecond or two.  Blaming
-// the latter let a prompt meet the same helper in all its attempts: while engines were
-// replaced, 10 of 794 prompts over 115,000 tokens were refused for it, and each had
-// set up to four sound engines aside.
-void Exchange::BlameReader(Time now) {
+// Records a failure of the reader instead of one of the engine that answered.  When a reader
+// is gone, leaving, or full, the engine that was sent the request refuses the whole prompt
+// within one or two milliseconds.  While the refusal counted against that engine, all attempts
+// of a prompt could name the same reader: during a replacement of engines, 10 of 794 prompts
+// over 115,000 tokens were refused for this reason, and each had up to four healthy engines
+// set aside.
+void Exchange::NoteReaderFailure(Time now) {
   const std::string& reader = *this->attempt->reader_at_fault;
   this->state->log->Write(this->Line("reader_refused")
                               .Text("engine", this->attempt->engine.Incarnation())
@@ -324,18 +329,18 @@
   std::string engine = this->attempt->engine.Incarnation();
   Time now = Now();
   if (this->attempt->reader_at_fault) {
-    this->BlameReader(now);
+    this->NoteReaderFailure(now);
     return;
   }
-  bool worked = result == AttemptResult::kSuccess || result == AttemptResult::kRejected;
-  if (worked) {
+  bool is_healthy = result == AttemptResult::kSuccess || result == AttemptResult::kRejected;
+  if (is_healthy) {
     fleet.HealthOf(engine).AddSuccess(now);
   } else if (result == AttemptResult::kWrongEngine) {
     this->state->log->Write(this->Line("engine_replaced").Text("engine", engine));
     fleet.directory().Forget(this->attempt->engine);
   } else {
-    // Answers of failure count too: an engine that fails at once is always idle, and
-    // would draw everybody's requests.
+    // Answers that report a failure count too: an engine that fails each request at once is
+    // always idle and would be chosen first for every request.
     fleet.NoteFailure(engine, channel_result == ChannelResult::kNotSent, now);
   }
 }
@@ -348,14 +353,14 @@
   decision.max_attempts = this->admission.route->max_attempts;
   decision.answer_begun = this->answer_begun;
   decision.may_have_run = this->may_have_run;
-  decision.time_left = now < this->admission.answer_by;
+  decision.time_left = now < this->admission.answer_deadline;
   return decision;
 }
 
 void Exchange::AfterAttempt(AttemptResult result) {
   Time now = Now();
   this->state->fleet.loads().End(this->id);
-  this->DropTickets();
+  this->ReleaseTickets();
   bool not_run = result == AttemptResult::kNotRun || result == AttemptResult::kWrongEngine;
   if (!not_run) {
     this->attempts_run += 1;
@@ -363,10 +368,10 @@
   }
   RequestState decision = this->StateForDecision(now);
   NextStep step = DecideNext(result, decision);
-  bool nobody_left = this->state->fleet.AllHoldBack(*this->service, now);
-  if (step == NextStep::kRetry && nobody_left) step = WithoutRetry(result, decision);
-  if (step == NextStep::kRetry && this->MayEndAnother(now)) {
-    this->FollowEnginesEnded(WithoutRetry(result, decision), result);
+  bool all_hold_back = this->state->fleet.AllHoldBack(*this->service, now);
+  if (step == NextStep::kRetry && all_hold_back) step = WithoutRetry(result, decision);
+  if (step == NextStep::kRetry && this->MayCrashAnotherEngine(now)) {
+    this->ApplyStepAfterCrash(WithoutRetry(result, decision), result);
     return;
   }
   if (step == NextStep::kRetry) {
@@ -383,16 +388,16 @@
     this->state->counters.retries_denied += 1;
     step = WithoutRetry(result, decision);
   }
-  this->Follow(step, result);
+  this->ApplyStep(step, result);
 }
 
-// What follows where no attempt can be sent now.
-void Exchange::FollowUnsent(Time now) {
-  this->Follow(WithoutRetry(AttemptResult::kNotRun, this->StateForDecision(now)),
-               AttemptResult::kNotRun);
+// Ends the request when no attempt can be sent now.
+void Exchange::ApplyStepUnsent(Time now) {
+  this->ApplyStep(WithoutRetry(AttemptResult::kNotRun, this->StateForDecision(now)),
+                  AttemptResult::kNotRun);
 }
 
-void Exchange::Follow(NextStep step, AttemptResult result) {
+void Exchange::ApplyStep(NextStep step, AttemptResult result) {
   switch (step) {
     case NextStep::kDeliver:
       this->DeliverWhole();
@@ -414,15 +419,16 @@
   }
 }
 
-// Where engines take nothing now by their own word, the caller is told when one will.
+// If all engines hold back requests (by a limit, a rest or because they are leaving), the
+// answer says when the first of them will take requests again.
 void Exchange::RefuseUnsent() {
   Time now = Now();
   Fleet& fleet = this->state->fleet;
   bool held_back = fleet.AllHoldBack(*this->service, now);
   std::optional<Duration> opens;
   if (held_back) opens = fleet.OpensIn(*this->service, now);
-  ResultCode unasked = held_back ? ResultCode::kEnginesHoldBack : ResultCode::kNoEndpoint;
-  this->Refuse(this->attempts == 0 ? unasked : ResultCode::kEnginesRefused, opens);
+  ResultCode code_if_unsent = held_back ? ResultCode::kEnginesHoldBack : ResultCode::kNoEndpoint;
+  this->Refuse(this->attempts == 0 ? code_if_unsent : ResultCode::kEnginesRefused, opens);
 }
 
 void Exchange::DeliverWhole() {
@@ -440,7 +446,7 @@
   channel->Answer(head, body);
 }
 
-// Answers with a failure of our own.
+// Answers with a failure of the gateway's own.
 void Exchange::Refuse(ResultCode code, std::optional<Duration> come_back) {
   this->state->counters.failures[code] += 1;
   this->LogFailure(code);
@@ -452,7 +458,7 @@
 
 void Exchange::CancelAttempt() {
   if (this->attempt) this->attempt->channel->Close();
-  this->DropTickets();
+  this->ReleaseTickets();
   this->state->fleet.loads().End(this->id);
 }
 
@@ -471,7 +477,7 @@
 void Exchange::Finish() {
   this->is_finished = true;
   this->attempt.reset();
-  this->DropTickets();
+  this->ReleaseTickets();
   this->state->fleet.loads().End(this->id);
 }
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,14 +1,18 @@
-// One request, from the caller's bytes to the end of its answer.
+// One request, from its arrival at the gateway to the end of its answer.
 //
-// An exchange admits the request (admission.h), has it run by one
-// engine after another until one answers or nothing more may be tried, and
-// passes the answer on.  What follows an attempt is decided by
-// serving/attempt_result.h; where it runs, by serving/fleet.h; when a silent engine
-// is left for another, by serving/engine_patience.h.
+// An exchange checks the request (admission.h) and sends it to one engine after another
+// until an engine answers or no further attempt is allowed.  It forwards the answer to
+// the caller while the engine sends it.  serving/fleet.h chooses the engine of each
+// attempt, serving/attempt_result.h decides what follows an attempt, and
+// serving/silence_timeout.h gives the time after which a silent engine is abandoned.
 //
 //   auto exchange = std::make_shared<Exchange>(state, id, caller, request);
 //   exchange->Start(now);
 //   exchange->Tick(now);           // every few milliseconds, until finished()
+//
+// Every request ends in one of four ways: a whole answer from an engine, a failure answer
+// from the gateway (failure_answer.h), an answer that is broken off by a connection reset,
+// or a caller that disconnects.
 
 #ifndef GULLWARD_GATEWAY_EXCHANGE_H_
 #define GULLWARD_GATEWAY_EXCHANGE_H_
@@ -32,75 +36,84 @@
 
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
+  // `exchange_id` must be unique within the process.  It names the request in the load
+  // figures and is a part of the names of its tickets.
   Exchange(GatewayState* gateway_state, uint64_t exchange_id,
            std::shared_ptr<CallerChannel> caller_channel, CallerRequest caller_request);
 
+  // Admits the request and sends the first attempt, or refuses the request.
   void Start(Time now);
 
-  // Looks at the clock: the request's time, and an engine's silence.
+  // Ends the request at its deadline, renews its tickets, and abandons an engine that has
+  // been silent for too long.
   void Tick(Time now);
 
-  // The caller has left: whatever runs for it is cancelled.
+  // Cancels the attempt under way.  To be called when the caller has disconnected.
   void CallerGone();
 
-  // The caller has read what was written.
+  // Resumes reading from the engine.  To be called when the caller has read all bytes that
+  // were written to it.
   void CallerDrained();
 
   bool finished() const { return this->is_finished; }
 
  private:
-  // Of the attempt under way.
+  // The attempt under way.
   struct Attempt {
     EngineRecord engine;
-    // Those that help to read the prompt.
+    // Engines that read parts of the prompt for `engine`.
     std::vector<EngineRecord> readers;
-    // The id of the reader that the answer names as the cause of a refusal.
+    // Incarnation of the reader that the engine's answer names as the cause of a refusal.
     std::optional<std::string> reader_at_fault;
     std::shared_ptr<RequestChannel> channel;
     Time sent;
+    // When the engine last sent anything; the time of sending until then.
     Time last_progress;
     ResponseHead head;
-    AttemptResult verdict = AttemptResult::kUnknown;
-    // How its connection ended; nothing while it is in use.
+    // The result that the answer's head implies.  ResultOf adds how the connection ended.
+    AttemptResult head_result = AttemptResult::kUnknown;
+    // How the connection ended; empty while it is in use.
     std::optional<ChannelResult> ended;
+    // The part of the answer that is held back until the answer is whole.
     std::string body;
     EventSplitter events;
     bool any_event = false;
+    // Expected time from sending to the first event, in milliseconds.
     double expected_first_ms = 0;
   };
 
-  Demand DemandOfRequest();
+  Demand MakeDemand();
   void StartAttempt(Time now);
   void AcquireTickets(const FleetChoice& choice);
   void OnTickets(const FleetChoice& choice, bool all, const std::string& refused_by);
-  void DropTickets();
+  void ReleaseTickets();
   void SendAttempt(const FleetChoice& choice, Time now);
-  EngineOrders OrdersFor(const FleetChoice& choice, Time now) const;
+  AttemptHeaders HeadersFor(const FleetChoice& choice, Time now) const;
   void LogAttempt(const FleetChoice& choice, Time now);
   void LogOverload(const Placement& placement, const Demand& demand);
   RequestChannel::Hooks AttemptHooks();
-  void BookLoad(const FleetChoice& choice, Time now);
+  void RecordLoad(const FleetChoice& choice, Time now);
   void OnHead(const ResponseHead& head);
   void OnBody(std::string_view bytes);
-  void PassEvents(std::string_view bytes);
+  void ForwardEvents(std::string_view bytes);
   void NoteEvent();
   void NoteFirstEvent();
   void LogAnswered();
-  void PassBody(std::string_view bytes);
+  void ForwardBody(std::string_view bytes);
   void OnDone(ChannelResult result);
   AttemptResult ResultOf(ChannelResult result) const;
   std::optional<std::string> ReaderAtFault(const ResponseHead& head) const;
-  void BlameReader(Time now);
+  void NoteReaderFailure(Time now);
   void NoteHealth(AttemptResult result, ChannelResult channel_result);
   ContentId Content();
   void NoteBrokenOff();
-  void NoteWhole(AttemptResult result);
+  void NoteWholeAnswer(AttemptResult result);
   std::optional<Duration> ContentRefusedFor(Time now);
-  bool MayEndAnother(Time now);
-  void FollowEnginesEnded(NextStep step, AttemptResult result);
+  bool MayCrashAnotherEngine(Time now);
+  void ApplyStepAfterCrash(NextStep step, AttemptResult result);
   void AfterAttempt(AttemptResult result);
-  void FollowUnsent(Time now);
-  void Follow(NextStep step, AttemptResult result);
+  void ApplyStepUnsent(Time now);
+  void ApplyStep(NextStep step, AttemptResult result);
   void BeginAnswer(std::optional<uint64_t> length);
   AnswerHead TakeAnswerHead();
   void DeliverWhole();
@@ -111,11 +124,11 @@
   void CancelAttempt();
   void Finish();
   double ExpectedSilenceMs() const;
-  Duration Patience() const;
+  Duration AttemptSilenceTimeout() const;
   bool IsTooSilent(Time now) const;
   bool MayTryAnother(Time now) const;
   void LeaveSilentEngine(Time now);
-  bool IsInVain(Time now) const;
+  bool ShouldWithdraw(Time now) const;
   void Withdraw(Time now);
   RequestState StateForDecision(Time now) const;
   LogLine Line(std::string_view event) const;
@@ -125,24 +138,31 @@
   std::shared_ptr<CallerChannel> caller;
   CallerRequest request;
   RequestFacts facts;
+  // The configuration at the request's arrival; it applies until the request ends.
   std::shared_ptr<const ConfigIndex> config;
   Admission admission;
   const Service* service = nullptr;
 
   std::optional<Attempt> attempt;
-  // Memory on the readers of the attempt, where it is spread.
+  // Memory reserved on the readers of the attempt; null unless the prompt's memory is
+  // spread over several engines.
   std::shared_ptr<TicketSet> tickets;
+  // Sets of engines that have been asked for tickets.
   int ticket_rounds = 0;
+  // Incarnations of the engines that this request has tried.
   std::set<std::string> tried;
+  // Number of attempts sent, and number of these that an engine may have run.
   int attempts = 0;
   int attempts_run = 0;
   bool may_have_run = false;
+  // Id of the last event forwarded; the next attempt resumes the stream after this event.
   std::optional<std::string> last_event_id;
-  // Worked out when it is first asked for; most requests never need it.
+  // Computed by Content() on first use, since most requests never need it.
   std::optional<ContentId> content;
-  // Whether the last attempt broke off.
+  // Whether the connection of the last attempt broke before its answer was complete.
   bool broke_off = false;
   AnswerTimes times;
+  // Whether the caller has been sent a part of the answer.
   bool answer_begun = false;
   bool is_finished = false;
 };
--- a/src/gateway/exchange_crashes.cc
+++ b/src/gateway/exchange_crashes.cc
@@ -1,5 +1,6 @@
-// What an exchange does about requests that end engines: it tells the crash watch of attempts
-// that break off and of answers that are whole, and sends nothing on that is refused there.
+// Handling of requests that may crash engines (crash_watch.h).  The exchange reports attempts
+// whose connection broke and answers that are whole to the crash watch, and it refuses requests
+// whose content the crash watch refuses.
 
 #include "gateway/exchange.h"
 
@@ -14,42 +15,46 @@
   return *this->content;
 }
 
-// Its engine may be gone.
+// Reports that the attempt's connection broke, which may mean that its engine has crashed.
 void Exchange::NoteBrokenOff() {
   LogLine line = this->Line("attempt_broken");
   line.Text("content", ContentName(this->Content()))
       .Text("engine", this->attempt->engine.Incarnation())
       .Number("worked_ms", ToSeconds(Now() - this->attempt->sent) * 1000);
-  this->state->crash_watch->NoteBroken(this->attempt->engine, this->Content(), this->attempt->sent,
-                                       line);
+  this->state->crash_watch->NoteBrokenAttempt(this->attempt->engine, this->Content(),
+                                              this->attempt->sent, line);
 }
 
-// Only an answer of success shows that an engine can bear the request: one that fails part
-// of its requests does so without running them.
-void Exchange::NoteWhole(AttemptResult result) {
+// Returns the connection to the pool.  Only a successful answer shows that an engine survives
+// the request: an engine that fails some of its requests does not run those requests.
+void Exchange::NoteWholeAnswer(AttemptResult result) {
   this->state->pool.Give(this->attempt->engine, this->attempt->channel, Now());
-  bool is_news = result == AttemptResult::kSuccess && this->state->crash_watch->knows_any();
-  if (is_news) this->state->crash_watch->NoteAnswered(this->Content(), Now());
+  bool clears_content =
+      result == AttemptResult::kSuccess && this->state->crash_watch->has_records();
+  if (clears_content) this->state->crash_watch->NoteAnswered(this->Content(), Now());
 }
 
-// Whether a second engine must not get what the first has broken off.
-bool Exchange::MayEndAnother(Time now) {
+// Whether a retry might crash another engine: the last attempt broke off, and the content is
+// refused or not allowed a second attempt.
+bool Exchange::MayCrashAnotherEngine(Time now) {
   CrashWatch& watch = *this->state->crash_watch;
-  if (!this->broke_off || !watch.knows_any()) return false;
+  if (!this->broke_off || !watch.has_records()) return false;
   return this->ContentRefusedFor(now) || !watch.AllowsSecondAttempt(this->Content());
 }
 
-// For how long no engine gets this content, since requests of it have ended engines.
+// For how long requests with this content are refused because they have crashed engines; nullopt
+// if they are not refused.
 std::optional<Duration> Exchange::ContentRefusedFor(Time now) {
   CrashWatch& watch = *this->state->crash_watch;
-  return watch.knows_any() ? watch.RefusedFor(this->Content(), now) : std::nullopt;
+  return watch.has_records() ? watch.RefusedFor(this->Content(), now) : std::nullopt;
 }
 
-// What follows where another attempt would end another engine.
-void Exchange::FollowEnginesEnded(NextStep step, AttemptResult result) {
+// Ends the request when another attempt might crash another engine.  An answer that is complete
+// or has begun still takes the usual step; otherwise the request is refused.
+void Exchange::ApplyStepAfterCrash(NextStep step, AttemptResult result) {
   bool has_answer = step == NextStep::kDeliver || step == NextStep::kBreakOff;
   if (has_answer) {
-    this->Follow(step, result);
+    this->ApplyStep(step, result);
     return;
   }
   this->Refuse(this->may_have_run ? ResultCode::kEnginesEnded : ResultCode::kQuarantined,
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -1,6 +1,6 @@
-// What an exchange writes to the log: one line an event, with the request, its
-// route and its age, and the figures that the decision was taken by.  Lines of
-// success are sampled; refusals, retries, late answers and failures always get one.
+// The log lines of an exchange.  Each event is one line, with the request, its route, its age
+// and the figures behind the decision.  Successful requests are sampled; refusals, retries, late
+// answers and failures are always logged.
 
 #include <string>
 
@@ -9,7 +9,7 @@
 namespace gullward {
 namespace {
 
-// How a connection to an engine ended, for the log; nothing if it had not.
+// Returns the log text for the end of a connection to an engine; "open" if it has not ended.
 std::string_view NameOf(std::optional<ChannelResult> result) {
   if (!result) return "open";
   switch (*result) {
@@ -35,7 +35,7 @@
   return line;
 }
 
-// What the refusal was decided by.
+// Logs the inputs of a refusal for overload.
 void Exchange::LogOverload(const Placement& placement, const Demand& demand) {
   this->state->log->Write(this->Line("overload_inputs")
                               .Number("prompt_tokens", demand.prompt_tokens)
@@ -48,12 +48,12 @@
                               .Number("engine_seconds", placement.engine_seconds));
 }
 
-// Second attempts and those at engines with notices always get their line, others a sample.
+// Always logs second attempts and attempts at engines with notices in effect; samples the rest.
 void Exchange::LogAttempt(const FleetChoice& choice, Time now) {
   const EngineNotices& notices = this->state->fleet.notices();
   std::string engine = choice.engine.Incarnation();
-  bool is_told = this->attempts > 1 || notices.Has(engine);
-  if (!is_told && !this->state->log->Sample()) return;
+  bool is_always_logged = this->attempts > 1 || notices.Has(engine);
+  if (!is_always_logged && !this->state->log->Sample()) return;
   LogLine line = this->Line("attempt");
   if (std::optional<double> limit = notices.LimitOf(engine)) line.Number("limit_per_s", *limit);
   if (notices.IsLeaving(engine)) line.Number("leaving", 1);
@@ -72,12 +72,12 @@
           .Number("config", static_cast<double>(this->config->config().version)));
 }
 
-// A late answer always gets its line: someone may ask why.
+// Always logs late answers, so that an operator can find out why they were late; samples the rest.
 void Exchange::LogAnswered() {
-  const Route& on = *this->admission.route;
-  Duration first = this->times.FirstAfter(on, Now());
-  this->times.Count(on, this->facts.prompt_tokens, first, &this->state->counters);
-  bool late = this->times.IsLate(on, first);
+  const Route& route = *this->admission.route;
+  Duration first = this->times.FirstAfter(route, Now());
+  this->times.Count(route, this->facts.prompt_tokens, first, &this->state->counters);
+  bool late = this->times.IsLate(route, first);
   if (!late && !this->state->log->Sample()) return;
   LogLine line = this->Line(late ? "answered_late" : "answered");
   line.Text("engine", this->attempt->engine.Incarnation())
@@ -85,11 +85,12 @@
       .Number("attempts", this->attempts)
       .Number("prompt_tokens", this->facts.prompt_tokens)
       .Number("expected_first_ms", this->attempt->expected_first_ms);
-  this->times.Describe(on, first, &line);
+  this->times.Describe(route, first, &line);
   this->state->log->Write(line);
 }
 
-// Which engine had the request, and how far it had come with it.
+// Logs the failure, with the engine that ran the request, the status that it sent, how long it
+// has been silent, and how its connection ended.
 void Exchange::LogFailure(ResultCode code) {
   const ResultCodeInfo& info = Info(code);
   LogLine line = this->Line(info.name);
--- a/src/gateway/exchange_timeouts.cc
+++ b/src/gateway/exchange_timeouts.cc
@@ -1,16 +1,19 @@
-// When an exchange stops waiting.  Each tick asks whether the request's time is
-// over (then it is given up: broken off where an answer has begun, else refused
-// with a code that promises nothing), and whether its engine has been silent for
-// longer than its expected next event and its load can explain (then the attempt
-// is left for another engine, where the request may run again).  A request that waits for a
-// connection is withdrawn where its engine leaves or wants a pause meanwhile.
+// Timeouts of an exchange, checked at each tick:
+//
+//   - At the request's deadline it ends.  An answer that has begun is broken off; otherwise the
+//     request fails with a code that does not say whether it ran.
+//   - When the engine has been silent for longer than its expected next event and its load
+//     explain, the attempt is abandoned and sent to another engine, if the request may run again.
+//   - While the connection to the engine is not established, the attempt is withdrawn if the
+//     engine leaves or asks for a rest.
 
 #include "gateway/exchange.h"
 #include "serving/engine_patience.h"
 
 namespace gullward {
 
-// Within how long the engine should send its next event; a plain service, its answer.
+// The time in milliseconds in which the engine is expected to send its next event, or a plain
+// service its answer.
 double Exchange::ExpectedSilenceMs() const {
   const Route& route = *this->admission.route;
   if (!this->service->runs_models) return ToSeconds(route.objective) * 1000;
@@ -22,11 +25,11 @@
   if (this->is_finished) return;
   if (this->tickets) this->tickets->Tick(now);
   if (!this->attempt) return;
-  if (now >= this->admission.answer_by) {
+  if (now >= this->admission.answer_deadline) {
     this->GiveUp();
     return;
   }
-  if (this->IsInVain(now)) {
+  if (this->ShouldWithdraw(now)) {
     this->Withdraw(now);
     return;
   }
@@ -34,7 +37,7 @@
   if (this->IsTooSilent(now) && this->MayTryAnother(now)) this->LeaveSilentEngine(now);
 }
 
-Duration Exchange::Patience() const {
+Duration Exchange::AttemptSilenceTimeout() const {
   double expected_ms = this->ExpectedSilenceMs();
   bool is_first = this->service->runs_models && !this->attempt->any_event;
   bool waits_for_late = this->state->fleet.mechanisms().wait_for_late_first;
@@ -44,14 +47,14 @@
 
 bool Exchange::IsTooSilent(Time now) const {
   Duration silent = now - this->attempt->last_progress;
-  if (silent < this->Patience()) return false;
+  if (silent < this->AttemptSilenceTimeout()) return false;
   const EngineRecord& engine = this->attempt->engine;
   EngineLoad load = this->state->fleet.loads().Of(engine.Incarnation(), now);
   return !ExcusesSilence(load, engine.slots, silent);
 }
 
-// Whether the request could be sent again if the attempt under way ended now, perhaps
-// after it ran.
+// Whether the request could be sent again if the attempt under way ended now, assuming that the
+// engine may have run it.
 bool Exchange::MayTryAnother(Time now) const {
   if (this->state->fleet.AllHoldBack(*this->service, now)) return false;
   RequestState decision = this->StateForDecision(now);
@@ -70,13 +73,13 @@
   this->AfterAttempt(AttemptResult::kUnknown);
 }
 
-// Whether the attempt waits for a connection to an engine that wants nothing any more.
-bool Exchange::IsInVain(Time now) const {
+// Whether the attempt still waits for a connection to an engine that takes no more requests.
+bool Exchange::ShouldWithdraw(Time now) const {
   return this->attempt->channel->is_connecting() &&
          !this->state->fleet.MayStillGo(this->attempt->engine, now);
 }
 
-// Nothing has been sent yet, so nothing has run.
+// Ends the attempt before anything was sent, so the request counts as not run.
 void Exchange::Withdraw(Time now) {
   this->state->log->Write(this->Line("withdrawn")
                               .Text("engine", this->attempt->engine.Incarnation())
@@ -88,7 +91,7 @@
 void Exchange::GiveUp() {
   this->CancelAttempt();
   if (this->answer_begun) {
-    this->Follow(NextStep::kBreakOff, AttemptResult::kUnknown);
+    this->ApplyStep(NextStep::kBreakOff, AttemptResult::kUnknown);
   } else {
     this->Refuse(ResultCode::kDeadlineExceeded);
   }
--- a/src/gateway/failure_answer.cc
+++ b/src/gateway/failure_answer.cc
@@ -1,4 +1,5 @@
-// The body is written without escapes: the table's names and descriptions need none.
+// The body is written without JSON escapes, because the names and descriptions in the table of
+// result codes need none.
 
 #include "gateway/failure_answer.h"
 
@@ -10,16 +11,16 @@
 namespace gullward {
 namespace {
 
-// After this a caller that was refused may come back: an engine's pass and the
-// news of it take about as long.
-constexpr double kComeBackSeconds = 0.3;
-// Share of the objective after which it may.
-constexpr double kComeBackShare = 0.3;
+// In seconds, the minimum time until a refused caller should try again.  An engine's pass over
+// its requests and the update of its load at the gateways take about as long.
+constexpr double kMinRetryAfterSeconds = 0.3;
+// The share of the route's objective after which a refused caller should try again.
+constexpr double kRetryAfterShare = 0.3;
 
-double ComeBackSeconds(const Route* route, std::optional<Duration> come_back) {
-  if (come_back) return std::max(kComeBackSeconds, ToSeconds(*come_back));
-  if (route == nullptr) return kComeBackSeconds;
-  return std::max(kComeBackSeconds, kComeBackShare * ToSeconds(route->objective));
+double RetryAfterSeconds(const Route* route, std::optional<Duration> come_back) {
+  if (come_back) return std::max(kMinRetryAfterSeconds, ToSeconds(*come_back));
+  if (route == nullptr) return kMinRetryAfterSeconds;
+  return std::max(kMinRetryAfterSeconds, kRetryAfterShare * ToSeconds(route->objective));
 }
 
 }  // namespace
@@ -32,10 +33,10 @@
   head.reason = info.name;
   if (!attempt_id.empty()) head.headers.emplace_back(platform::kAttemptId, attempt_id);
   head.headers.emplace_back("Content-Type", "application/json");
-  bool for_now = info.http_status == 503 || info.http_status == 429;
-  if (for_now) {
+  bool is_temporary = info.http_status == 503 || info.http_status == 429;
+  if (is_temporary) {
     head.headers.emplace_back(platform::kRetryAfter,
-                              absl::StrCat(ComeBackSeconds(route, come_back)));
+                              absl::StrCat(RetryAfterSeconds(route, come_back)));
   }
   return head;
 }
--- a/src/gateway/failure_answer.h
+++ b/src/gateway/failure_answer.h
@@ -1,4 +1,4 @@
-// The answer by which the gateway itself says that a request failed.
+// The answer that a gateway sends to the caller when a request fails.
 //
 //   AnswerHead head = FailureHead(ResultCode::kOverloaded, attempt_id, route);
 //   channel->Answer(head, FailureBody(ResultCode::kOverloaded));
@@ -16,14 +16,15 @@
 
 namespace gullward {
 
-// The status and the fields of the answer.  A caller that was refused for now is told
-// when to come back: in time for the route's objective still, but not before engines
-// can have got anywhere; or after `come_back`, where it is known when the reason ends.  The
-// attempt's id may be empty, and the route null where none was found.
+// Returns the status and the header fields of the answer.  For statuses 429 and 503 the fields
+// say after how many seconds to try again.  That is `come_back` if it is set, for a reason whose
+// end is known; otherwise it is a share of the route's objective, so that the answer may still
+// be in time.  It is never too short for engines to make progress.  `attempt_id` may be empty;
+// `route` is null if no route was found.
 AnswerHead FailureHead(ResultCode code, const std::string& attempt_id, const Route* route,
                        std::optional<Duration> come_back = std::nullopt);
 
-// The code's row of the table of result codes, as JSON.
+// Returns the code's row of the table of result codes as JSON.
 std::string FailureBody(ResultCode code);
 
 }  // namespace gullward
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -1,4 +1,4 @@
-// What all exchanges of a gateway process share.
+// The state that all exchanges of a gateway process share.
 
 #ifndef GULLWARD_GATEWAY_GATEWAY_STATE_H_
 #define GULLWARD_GATEWAY_GATEWAY_STATE_H_
@@ -21,41 +21,44 @@
 
 namespace gullward {
 
-// Plain counters; the server copies them into the metrics page.
+// Counters since the process began.  The server copies them into the metrics page.
 struct GatewayCounters {
   uint64_t requests = 0;
   uint64_t attempts = 0;
   uint64_t retries = 0;
   uint64_t retries_denied = 0;
+  // Answers of engines that were forwarded whole, and answers that were broken off.
   uint64_t answers_whole = 0;
   uint64_t answers_broken = 0;
   uint64_t callers_gone = 0;
   uint64_t events_forwarded = 0;
+  // Orders to engines for memory (ticket_set.h).
   uint64_t orders = 0;
-  // Attempts at engines of other cells.
+  // Attempts sent to engines of other cells.
   uint64_t spilled = 0;
-  // Entries of the engines' list that name no engine, and lives that followed another
-  // one under the same id.
+  // Unreadable entries of the engine list, and incarnations that replaced an earlier one of the
+  // same engine id.
   uint64_t entries_unreadable = 0;
   uint64_t engine_restarts = 0;
-  // Notices of engines (serving/engine_notices.h) that changed what was known, by what they
-  // said, and fields of them that could not be read.
+  // Changes by notices of engines (serving/engine_notices.h), by the kind of notice, and notices
+  // that could not be decoded.
   uint64_t limit_changes = 0;
   uint64_t leaving_changes = 0;
   uint64_t rest_changes = 0;
   uint64_t notices_unreadable = 0;
-  // By the length of the prompt (LengthName).
+  // By the length of the prompt (PromptLengthLabel).
   std::map<std::string, LatencyHistogram> first_event;
   std::map<std::string, LatencyHistogram> longest_pause;
-  // Answers that are no streams, whole.
+  // Whole answers that are not streams.
   LatencyHistogram plain_answer;
   std::map<ResultCode, uint64_t> failures;
 
   bool operator==(const GatewayCounters&) const = default;
 };
 
-// The lengths of prompts that the metrics tell apart: those of the users' sheets.
-inline const char* LengthName(double prompt_tokens) {
+// Returns the label by which the metrics group prompt lengths in tokens.  The bounds are those
+// of the users' requirements.
+inline const char* PromptLengthLabel(double prompt_tokens) {
   if (prompt_tokens < 24'000) return "short";
   return prompt_tokens < 110'000 ? "middle" : "vast";
 }
@@ -78,21 +81,22 @@
   EventLog* log;
   // Null until a configuration has been read.
   std::shared_ptr<const ConfigIndex> config;
-  // The record that it was decoded from.
+  // The record from which `config` was decoded.
   std::shared_ptr<const std::string> config_record;
-  // The newest version that any peer has told of.
+  // The newest configuration version that a peer has reported, and when it was reported.
   uint64_t newest_peer_version = 0;
   Time newest_peer_version_at{};
   KeyFreshness keys;
   Fleet fleet;
   EnginePool pool;
   std::mt19937_64 random;
-  // Tells this life of the process from earlier ones of the same box.
+  // A random number that distinguishes this process from earlier ones of the same box.
   uint64_t incarnation;
   GatewayCounters counters;
-  // Of requests that end engines; set by the server.
+  // Detects requests that crash engines; set by the server.
   CrashWatch* crash_watch = nullptr;
-  // Asks for the peers to be told of new work at once rather than at the next tick.
+  // Sends the load to the peers at once rather than at the next tick.  Called when new work
+  // begins.
   std::function<void()> send_to_peers;
 };
 
--- a/src/gateway/lost_engine_check.cc
+++ b/src/gateway/lost_engine_check.cc
@@ -1,4 +1,5 @@
-// lost_engine_check.h tells the method.
+// The connection's hooks and the timeout name a test by its number, so that they have no effect
+// on a later test of the same engine.
 
 #include "gateway/lost_engine_check.h"
 
@@ -18,7 +19,7 @@
   return "unknown";
 }
 
-void LostEngineCheck::Ask(const EngineRecord& engine, Done done) {
+void LostEngineCheck::Start(const EngineRecord& engine, Done done) {
   auto [found, is_new] = this->checks.try_emplace(engine.Incarnation());
   found->second.second.waiting.push_back(std::move(done));
   if (is_new) this->Open(engine);
@@ -40,7 +41,7 @@
   this->checks[name].first = number;
   this->checks[name].second.stream = stream;
   this->loop->RunAfter(
-      kPatience, [this, name, number] { this->Finish(name, number, EngineFinding::kUnknown); });
+      kTimeout, [this, name, number] { this->Finish(name, number, EngineFinding::kUnknown); });
 }
 
 void LostEngineCheck::Finish(const std::string& engine, uint64_t number, EngineFinding finding) {
@@ -49,7 +50,7 @@
   if (is_over) return;
   Check check = std::move(found->second.second);
   this->checks.erase(found);
-  // A reset, so that the engine need not keep the connection for its good end.
+  // A reset, so that the engine need not wait for an orderly close.
   check.stream->Reset();
   for (const Done& done : check.waiting) done(finding);
 }
--- a/src/gateway/lost_engine_check.h
+++ b/src/gateway/lost_engine_check.h
@@ -1,15 +1,16 @@
-// Whether an engine whose answer broke off is gone, or only that connection.
+// Tests whether an engine whose answer broke off is gone, or whether only the connection broke.
 //
-// A connection breaks for many reasons: reset on the way, cut by a faulty engine, or lost
-// with the engine.  Which it was shows at once: the address of an engine that has ended
-// refuses a new connection, one that lives takes it.  Where nothing answers (a cut, a box
-// without power) nothing is found out.
+// A connection may be reset on the way, closed by a faulty engine, or lost with the engine.  The
+// test opens a new connection to the engine's address: it is refused if the engine's process has
+// ended, and accepted if the process runs.  If nothing answers (a network partition, a box
+// without power), the result is unknown.
 //
 //   LostEngineCheck check(&loop);
-//   check.Ask(engine, [](EngineFinding finding) { ... });
+//   check.Start(engine, [](EngineFinding finding) { ... });
 //
-// One connection at a time is opened to an engine; all who ask meanwhile share its finding,
-// so an engine that is lost with sixteen requests costs each gateway one.
+// At most one connection to an engine is open at a time, and all tests of the engine in that time
+// share its result.  So an engine that crashes with sixteen requests costs each gateway one
+// connection.
 
 #ifndef GULLWARD_GATEWAY_LOST_ENGINE_CHECK_H_
 #define GULLWARD_GATEWAY_LOST_ENGINE_CHECK_H_
@@ -27,29 +28,29 @@
 namespace gullward {
 
 enum class EngineFinding {
-  // Nobody listens at its address.
+  // The address refuses connections.
   kGone,
-  // It takes connections.
+  // The engine accepts connections.
   kThere,
-  // Nothing answered.
+  // There was no answer within kTimeout, or the connection failed in another way.
   kUnknown,
 };
 
-// For logs.
+// Returns the name of the finding in logs and metrics.
 const char* NameOf(EngineFinding finding);
 
 class LostEngineCheck {
  public:
-  // A connection stands, or is refused, within a round trip: milliseconds.  After this the
-  // engine, or the way to it, is silent.
-  static constexpr Duration kPatience = milliseconds(500);
+  // A connection is accepted or refused within a round trip of milliseconds.  If neither happens
+  // in this time, the engine or the network path to it does not respond.
+  static constexpr Duration kTimeout = milliseconds(500);
 
   using Done = std::function<void(EngineFinding)>;
 
   explicit LostEngineCheck(EventLoop* event_loop) : loop(event_loop) {}
 
-  // Calls `done` once, later.
-  void Ask(const EngineRecord& engine, Done done);
+  // Starts a test, or joins the one under way, and calls `done` once, after this call returns.
+  void Start(const EngineRecord& engine, Done done);
 
   // Connections opened since the process began.
   uint64_t connections() const { return this->opened; }
@@ -64,7 +65,8 @@
   void Finish(const std::string& engine, uint64_t number, EngineFinding finding);
 
   EventLoop* loop;
-  // Under way, by the engine's incarnation, each with its number.
+  // Tests under way, by the engine's incarnation.  The number distinguishes a test from later
+  // tests of the same engine.
   std::map<std::string, std::pair<uint64_t, Check>> checks;
   uint64_t opened = 0;
 };
--- a/src/gateway/notice_receiver.cc
+++ b/src/gateway/notice_receiver.cc
@@ -1,4 +1,4 @@
-// notice_receiver.h tells what it is for.
+// A notice is logged only if it changes the state of the engine.
 
 #include "gateway/notice_receiver.h"
 
@@ -7,9 +7,11 @@
 namespace gullward {
 namespace {
 
+// The HTTP status of an answer by an engine other than the expected one.
 constexpr int kMisdirected = 421;
 
-// Engines that cannot write their fields do so in every answer, so only a sample gets a line.
+// An engine that writes malformed fields writes them in every answer, so these are counted and
+// only a sample is logged.
 void NoteMalformed(GatewayState* state, const EngineRecord& engine) {
   state->counters.notices_unreadable += 1;
   if (!state->log->Sample()) return;
--- a/src/gateway/notice_receiver.h
+++ b/src/gateway/notice_receiver.h
@@ -1,5 +1,6 @@
-// Takes an engine's notices (serving/engine_notice.h) from its answers: to requests, and to
-// orders for memory alike.  What changes gets a line in the log.
+// Reads the notices of engines (serving/engine_notice.h), which are header fields of their
+// answers to requests and to orders for memory.  A notice states a limit on requests, that the
+// engine leaves, or a rest.  Each change of a notice is logged.
 //
 //   ReceiveNotice(state, engine, head, sent);
 
@@ -11,8 +12,9 @@
 
 namespace gullward {
 
-// `head` is of the engine's answer to what was sent to it at `sent`.  An answer that says that
-// another engine has the address (421) is that engine's and is passed over.
+// Applies the notices in `head`, the head of the engine's answer to a request or order that was
+// sent at `sent`.  An answer with status 421 is ignored: another engine has taken the address and
+// wrote the answer.
 void ReceiveNotice(GatewayState* state, const EngineRecord& engine, const ResponseHead& head,
                    Time sent);
 
--- a/src/gateway/testing/engine_leaving_test.cc
+++ b/src/gateway/testing/engine_leaving_test.cc
@@ -1,15 +1,12 @@
-// An engine that has said in an answer that it leaves gets nothing more, whatever its entry on
-// the engines' list says.
+// An engine that has stated in an answer that it leaves gets no more requests, whatever its entry
+// on the engine list says.
 //
-// What was seen: an engine got requests 3.8 and 5.9 seconds after an answer of its own had told
-// the gateway that sent them that it leaves; two are allowed.
+// Failure guarded against: an engine got requests 3.8 and 5.9 seconds after its own answer to
+// the sending gateway had stated that it leaves; two seconds are allowed.
 //
-// How it came about: the store was away, so the engine's entry still said that it was ready,
-// and the gateways knew of its leaving by the list alone.
-//
-// The cause: what an engine says of itself in an answer was not kept.
-//
-// What proved it: the first case here, in which all twenty later requests reached the engine.
+// How it comes about: the store is away, so the engine's entry still says that it is ready.  A
+// gateway that takes the state of engines from the list alone, and does not keep what engines
+// state in their answers, goes on choosing the engine.
 
 #define BOOST_TEST_MODULE engine_leaving
 #include <sys/socket.h>
@@ -33,33 +30,33 @@
 constexpr Duration kPause = milliseconds(3);
 const EngineNotice kLeaving{.leaving = true};
 
-std::unique_ptr<GatewayFixture> StartedWorld(const GatewayFixtureOptions& options,
-                                             int gateways = 1) {
-  auto world = std::make_unique<GatewayFixture>(options);
-  world->Publish(world->DefaultConfig());
-  world->StartGateway();
-  while (world->more_gateways.size() + 1 < static_cast<size_t>(gateways)) world->AddGateway();
-  return world;
+std::unique_ptr<GatewayFixture> StartedFixture(const GatewayFixtureOptions& options,
+                                               int gateways = 1) {
+  auto fixture = std::make_unique<GatewayFixture>(options);
+  fixture->Publish(fixture->DefaultConfig());
+  fixture->StartGateway();
+  while (fixture->more_gateways.size() + 1 < static_cast<size_t>(gateways)) fixture->AddGateway();
+  return fixture;
 }
 
-std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* world, int count,
+std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* fixture, int count,
                                              const std::string& name) {
-  return world->SendMany(count, name, kPause,
-                         [world](const std::string& id) { return world->StreamRequest(id); });
+  return fixture->SendMany(count, name, kPause,
+                           [fixture](const std::string& id) { return fixture->StreamRequest(id); });
 }
 
-// The engine that short requests fill first.
-EngineStandin& FirstInOrder(GatewayFixture* world) {
-  BOOST_REQUIRE(world->Call(world->StreamRequest("first")).head.status == 200);
+// Returns the engine that a gateway without load chooses first for a short request.
+EngineStandin& FirstInOrder(GatewayFixture* fixture) {
+  BOOST_REQUIRE(fixture->Call(fixture->StreamRequest("first")).head.status == 200);
   auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
-  return **std::find_if(world->engines.begin(), world->engines.end(), has_seen);
+  return **std::find_if(fixture->engines.begin(), fixture->engines.end(), has_seen);
 }
 
-// Has the engine tell the first gateway.
-void LetTell(GatewayFixture* world, EngineStandin* engine) {
+// Makes the engine state its leaving in an answer through the first gateway.
+void LetReport(GatewayFixture* fixture, EngineStandin* engine) {
   engine->Say(kLeaving);
   size_t before = engine->seen().size();
-  BOOST_REQUIRE(world->Call(world->StreamRequest("told")).head.status == 200);
+  BOOST_REQUIRE(fixture->Call(fixture->StreamRequest("told")).head.status == 200);
   BOOST_REQUIRE(engine->seen().size() == before + 1);
 }
 
@@ -68,165 +65,169 @@
                      [](const auto& reply) { return reply->head.status == 200; });
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineThatSaysItLeavesGetsNothingMore) {
-  auto world = StartedWorld({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(world.get());
-  LetTell(world.get(), &leaving);
-  size_t told = leaving.seen().size();
-  BOOST_TEST(AllServed(SendMany(world.get(), 20, "more")));
-  BOOST_TEST(leaving.seen().size() == told);
+BOOST_AUTO_TEST_CASE(ALeavingEngineGetsNoMoreRequests) {
+  auto fixture = StartedFixture({.engines = 2});
+  EngineStandin& leaving = FirstInOrder(fixture.get());
+  LetReport(fixture.get(), &leaving);
+  size_t seen_before = leaving.seen().size();
+  BOOST_TEST(AllServed(SendMany(fixture.get(), 20, "more")));
+  BOOST_TEST(leaving.seen().size() == seen_before);
 }
 
-// An entry that lapses in an outage comes back as ready, and copies of the list may be old.
-BOOST_AUTO_TEST_CASE(NoEntryOfTheListTakesItBack) {
-  auto world = StartedWorld({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(world.get());
-  LetTell(world.get(), &leaving);
-  size_t told = leaving.seen().size();
-  size_t usable = world->gateway->UsableEngines();
-  world->store.Remove("keyed.servers", leaving.id());
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->UsableEngines() == usable - 1; }));
-  world->ListEngine(leaving, "models");
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->UsableEngines() == usable; }));
-  SendMany(world.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == told);
+// An entry that expires in an outage may be listed again as ready, and copies of the list may be
+// old.
+BOOST_AUTO_TEST_CASE(NoEntryOfTheListEndsALeaving) {
+  auto fixture = StartedFixture({.engines = 2});
+  EngineStandin& leaving = FirstInOrder(fixture.get());
+  LetReport(fixture.get(), &leaving);
+  size_t seen_before = leaving.seen().size();
+  size_t usable = fixture->gateway->UsableEngines();
+  fixture->store.Remove("keyed.servers", leaving.id());
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->UsableEngines() == usable - 1; }));
+  fixture->ListEngine(leaving, "models");
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->UsableEngines() == usable; }));
+  SendMany(fixture.get(), 20, "more");
+  BOOST_TEST(leaving.seen().size() == seen_before);
 }
 
-// A leaving that the list has announced is no different.
-BOOST_AUTO_TEST_CASE(AnAnnouncedLeavingIsNotTakenBackByTheListEither) {
-  auto world = StartedWorld({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(world.get());
-  size_t usable = world->gateway->UsableEngines();
-  auto is_out = [&] { return world->gateway->UsableEngines() == usable - 1; };
-  world->ListEngine(leaving, "models", /*draining=*/true);
-  BOOST_REQUIRE(world->RunUntil(is_out));
-  size_t told = leaving.seen().size();
-  world->store.Remove("keyed.servers", leaving.id());
-  world->ListEngine(leaving, "models");
-  // An engine that is listed after it, so that the change before has been read.
+// The same holds for a leaving that the engine list has announced.
+BOOST_AUTO_TEST_CASE(NoEntryOfTheListEndsAnAnnouncedLeaving) {
+  auto fixture = StartedFixture({.engines = 2});
+  EngineStandin& leaving = FirstInOrder(fixture.get());
+  size_t usable = fixture->gateway->UsableEngines();
+  auto is_unusable = [&] { return fixture->gateway->UsableEngines() == usable - 1; };
+  fixture->ListEngine(leaving, "models", /*draining=*/true);
+  BOOST_REQUIRE(fixture->RunUntil(is_unusable));
+  size_t seen_before = leaving.seen().size();
+  fixture->store.Remove("keyed.servers", leaving.id());
+  fixture->ListEngine(leaving, "models");
+  // A later entry: once the gateway has read it, it has read the entry above too.
   EngineRecord next{"engine-9", "models", leaving.address(), "hall-1", 16, false};
-  world->store.Put("keyed.servers", next.id, platform::EngineDocument(next));
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->UsableEngines() >= usable; }));
-  world->store.Remove("keyed.servers", next.id);
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->UsableEngines() < usable; }));
-  SendMany(world.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == told);
+  fixture->store.Put("keyed.servers", next.id, platform::EngineDocument(next));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->UsableEngines() >= usable; }));
+  fixture->store.Remove("keyed.servers", next.id);
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->UsableEngines() < usable; }));
+  SendMany(fixture.get(), 20, "more");
+  BOOST_TEST(leaving.seen().size() == seen_before);
 }
 
-BOOST_AUTO_TEST_CASE(NoRetryGoesThere) {
-  auto world = StartedWorld({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(world.get());
-  LetTell(world.get(), &leaving);
-  size_t told = leaving.seen().size();
-  for (const auto& engine : world->engines) {
+BOOST_AUTO_TEST_CASE(ALeavingEngineGetsNoRetries) {
+  auto fixture = StartedFixture({.engines = 2});
+  EngineStandin& leaving = FirstInOrder(fixture.get());
+  LetReport(fixture.get(), &leaving);
+  size_t seen_before = leaving.seen().size();
+  for (const auto& engine : fixture->engines) {
     if (engine.get() != &leaving) engine->FailAll(EngineFault::kNotRun);
   }
-  SendMany(world.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == told);
+  SendMany(fixture.get(), 20, "more");
+  BOOST_TEST(leaving.seen().size() == seen_before);
 }
 
-BOOST_AUTO_TEST_CASE(WhereAllLeaveCallersAreRefusedAtOnce) {
-  auto world = StartedWorld({.engines = 1});
-  LetTell(world.get(), world->engines[0].get());
-  Reply refused = world->Call(world->StreamRequest("late"));
+BOOST_AUTO_TEST_CASE(CallersAreRefusedAtOnceIfAllEnginesLeave) {
+  auto fixture = StartedFixture({.engines = 1});
+  LetReport(fixture.get(), fixture->engines[0].get());
+  Reply refused = fixture->Call(fixture->StreamRequest("late"));
   BOOST_TEST(refused.head.status == 503);
   BOOST_TEST(absl::StrContains(refused.body, "\"code\":2017"));
   BOOST_TEST(FindHeader(refused.head.headers, platform::kRetryAfter).has_value());
-  BOOST_TEST(world->RunsOf("late") == 0);
+  BOOST_TEST(fixture->RunsOf("late") == 0);
 }
 
-// All leave, as their answers to short requests say, so nobody may help with a long one.
-BOOST_AUTO_TEST_CASE(ItReadsForNoOther) {
-  auto world = StartedWorld({.engines = 3});
-  for (const auto& engine : world->engines) engine->Say(kLeaving);
-  // One after the other is told of and left alone.
-  for (int i = 0; i < 3; ++i) world->Call(world->StreamRequest(absl::StrCat("told-", i)));
-  std::string request = world->StreamRequest("vast");
+// All engines leave, as their answers to short requests state, so none may read a part of a long
+// prompt for another.
+BOOST_AUTO_TEST_CASE(ALeavingEngineIsNoReader) {
+  auto fixture = StartedFixture({.engines = 3});
+  for (const auto& engine : fixture->engines) engine->Say(kLeaving);
+  // Each request reaches an engine whose leaving is not known yet.
+  for (int i = 0; i < 3; ++i) fixture->Call(fixture->StreamRequest(absl::StrCat("told-", i)));
+  std::string request = fixture->StreamRequest("vast");
   request.replace(request.find("1000,80"), 7, "200000,80");
-  world->Call(request);
-  for (const auto& engine : world->engines) {
+  fixture->Call(request);
+  for (const auto& engine : fixture->engines) {
     for (const EngineStandin::Seen& seen : engine->seen()) {
       BOOST_TEST(!FindHeader(seen.request.head.headers, platform::kReaders));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(TheOtherGatewaysHearOfIt) {
-  auto world = StartedWorld({.engines = 2}, /*gateways=*/2);
-  EngineStandin& leaving = FirstInOrder(world.get());
-  LetTell(world.get(), &leaving);
-  size_t told = leaving.seen().size();
-  BOOST_REQUIRE(world->RunUntil([&] { return world->more_gateways[0]->engines_leaving() == 1; }));
-  SendMany(world.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == told);
+BOOST_AUTO_TEST_CASE(TheOtherGatewaysLearnOfALeaving) {
+  auto fixture = StartedFixture({.engines = 2}, /*gateways=*/2);
+  EngineStandin& leaving = FirstInOrder(fixture.get());
+  LetReport(fixture.get(), &leaving);
+  size_t seen_before = leaving.seen().size();
+  BOOST_REQUIRE(
+      fixture->RunUntil([&] { return fixture->more_gateways[0]->engines_leaving() == 1; }));
+  SendMany(fixture.get(), 20, "more");
+  BOOST_TEST(leaving.seen().size() == seen_before);
 }
 
-// It ends by plan, though its entry still says ready: nothing that ran there is the cause.
-BOOST_AUTO_TEST_CASE(ItsEndIsBlamedOnNoRequest) {
+// The engine's end is planned, though its entry still says that it is ready, so no request that ran
+// there is suspected of crashing it.
+BOOST_AUTO_TEST_CASE(TheEndOfALeavingEngineMakesNoRequestSuspect) {
   GatewayFixtureOptions options{.engines = 2};
   options.engine.events = 1000;
-  auto world = StartedWorld(options);
-  auto running = world->Send(world->StreamRequest("running"));
+  auto fixture = StartedFixture(options);
+  auto running = fixture->Send(fixture->StreamRequest("running"));
   auto runs_on = [&]() -> EngineStandin* {
-    for (const auto& engine : world->engines) {
+    for (const auto& engine : fixture->engines) {
       if (!engine->seen().empty()) return engine.get();
     }
     return nullptr;
   };
-  BOOST_REQUIRE(world->RunUntil([&] { return runs_on() != nullptr && !running->body.empty(); }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return runs_on() != nullptr && !running->body.empty(); }));
   EngineStandin& leaving = *runs_on();
   leaving.Say(kLeaving);
-  auto told = world->Send(world->StreamRequest("told"));
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->engines_leaving() == 1; }));
+  auto told = fixture->Send(fixture->StreamRequest("told"));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->engines_leaving() == 1; }));
   leaving.End();
-  BOOST_REQUIRE(world->RunUntil([&] { return running->done && told->done; }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return running->done && told->done; }));
   BOOST_TEST(running->whole());
-  BOOST_TEST(world->gateway->suspects() == 0u);
+  BOOST_TEST(fixture->gateway->suspects() == 0u);
 }
 
-// A socket at which connections neither come about nor fail: its queue is full.
+// A listening socket whose queue is full, so that connections are neither established nor refused.
 class FullListener {
  public:
   explicit FullListener(EventLoop* loop) : fd(ListenTcp({"127.0.0.1", 0}).value()) {
     listen(this->fd, 0);
-    for (int i = 0; i < kFill; ++i)
-      this->filling.push_back(TcpStream::Connect(loop, this->address()));
+    for (int i = 0; i < kConnections; ++i)
+      this->connections.push_back(TcpStream::Connect(loop, this->address()));
   }
   ~FullListener() { close(this->fd); }
 
   SocketAddress address() const { return {"127.0.0.1", LocalPort(this->fd)}; }
 
  private:
-  // The kernel takes one more than the queue's length.
-  static constexpr int kFill = 2;
+  // The kernel accepts one connection more than the length of the queue.
+  static constexpr int kConnections = 2;
   int fd;
-  std::vector<std::shared_ptr<TcpStream>> filling;
+  std::vector<std::shared_ptr<TcpStream>> connections;
 };
 
-// A request whose connection does not stand yet has reached nobody.
-BOOST_AUTO_TEST_CASE(WhatWaitsForAConnectionIsTakenElsewhere) {
-  // Changes of the list are read at once, long before a connection that does not come about is
-  // given up.
+// A request whose connection is not established yet has not reached any engine, so it is sent to
+// another engine.
+BOOST_AUTO_TEST_CASE(ARequestWithoutAConnectionIsSentElsewhere) {
+  // The change of the list is read long before the attempt to connect fails.
   GatewayFixtureOptions options{.apps = 1, .leaving_bound = milliseconds(100)};
   options.mechanisms.leave_silent_engines = false;
-  auto world = StartedWorld(options);
-  FullListener full(&world->loop);
+  auto fixture = StartedFixture(options);
+  FullListener full(&fixture->loop);
   EngineRecord stuck{"app-9", "app", full.address(), "hall-1", 16, false};
-  world->store.Put("keyed.servers", stuck.id, platform::EngineDocument(stuck));
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->Knows(stuck.id); }));
-  // The second finds the first at the engine that was chosen for it.
-  auto one = world->Send(world->OnceRequest("one"));
-  auto other = world->Send(world->OnceRequest("other"));
-  BOOST_REQUIRE(world->RunUntil([&] { return one->done || other->done; }));
+  fixture->store.Put("keyed.servers", stuck.id, platform::EngineDocument(stuck));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->Knows(stuck.id); }));
+  // The second request is sent to the other engine, because the first one loads its engine.
+  auto one = fixture->Send(fixture->OnceRequest("one"));
+  auto other = fixture->Send(fixture->OnceRequest("other"));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return one->done || other->done; }));
   BOOST_TEST(!(one->done && other->done));
   stuck.draining = true;
-  world->store.Put("keyed.servers", stuck.id, platform::EngineDocument(stuck));
-  BOOST_REQUIRE(world->RunUntil([&] { return one->done && other->done; }));
+  fixture->store.Put("keyed.servers", stuck.id, platform::EngineDocument(stuck));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return one->done && other->done; }));
   for (const auto& reply : {one, other}) BOOST_TEST(reply->head.status == 200);
-  BOOST_TEST(world->RunsOf("one") == 1);
-  BOOST_TEST(world->RunsOf("other") == 1);
-  // Not by the connection's failure.
-  BOOST_TEST(world->gateway->SetAside().count(stuck.id) == 0u);
+  BOOST_TEST(fixture->RunsOf("one") == 1);
+  BOOST_TEST(fixture->RunsOf("other") == 1);
+  // The request was withdrawn because of the engine's entry, not because the connection failed.
+  BOOST_TEST(fixture->gateway->SetAside().count(stuck.id) == 0u);
 }
 
 }  // namespace
--- a/src/gateway/testing/engine_limit_test.cc
+++ b/src/gateway/testing/engine_limit_test.cc
@@ -1,14 +1,12 @@
-// An engine that names the requests a second that it takes from all gateways together gets no
-// more than that.
+// An engine that states a limit, in requests a second from all gateways together, gets no more
+// than that.
 //
-// What was seen: two engines that had named 2.3 and 1.5 requests a second got 21 and 27 requests
-// in four seconds from gateways that they had told.
+// Failure guarded against: two engines that had stated limits of 2.3 and 1.5 requests a second got
+// 21 and 27 requests in four seconds from gateways that had received the limits.
 //
-// How it came about: the gateways chose them as before, each by its price, and each by itself.
-//
-// The cause: nothing read the limit, and no gateway has a part of a limit that all share.
-//
-// What proved it: the first case here, in which all 60 requests of a second reached the engine.
+// How it comes about: gateways that ignore the limit choose engines by price alone; and a gateway
+// that keeps to the limit by itself does not share it with the others, so all of them together
+// exceed it.
 
 #define BOOST_TEST_MODULE engine_limit
 #include <algorithm>
@@ -26,39 +24,40 @@
 namespace {
 
 constexpr double kLimit = 2.5;
-// What the users allow an engine to get in any such time from gateways that it has told: one
-// and a half times its limit and five requests.
+// In any such window, an engine may get one and a half times its limit and five requests from the
+// gateways that have received the limit, as the users require.
 constexpr Duration kWindow = seconds(4);
-constexpr size_t kMostInWindow = 20;
-// Between two requests of a caller.
+constexpr size_t kMaxInWindow = 20;
+// The pause between two requests of a caller.
 constexpr Duration kPause = milliseconds(17);
 
-std::unique_ptr<GatewayFixture> StartedWorld(int engines, int gateways) {
-  auto world = std::make_unique<GatewayFixture>(GatewayFixtureOptions{.engines = engines});
-  world->Publish(world->DefaultConfig());
-  world->StartGateway();
-  while (world->more_gateways.size() + 1 < static_cast<size_t>(gateways)) world->AddGateway();
-  return world;
+std::unique_ptr<GatewayFixture> StartedFixture(int engines, int gateways) {
+  auto fixture = std::make_unique<GatewayFixture>(GatewayFixtureOptions{.engines = engines});
+  fixture->Publish(fixture->DefaultConfig());
+  fixture->StartGateway();
+  while (fixture->more_gateways.size() + 1 < static_cast<size_t>(gateways)) fixture->AddGateway();
+  return fixture;
 }
 
-std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* world, int count,
+std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* fixture, int count,
                                              const std::string& name) {
-  return world->SendMany(count, name, kPause,
-                         [world](const std::string& id) { return world->StreamRequest(id); });
+  return fixture->SendMany(count, name, kPause,
+                           [fixture](const std::string& id) { return fixture->StreamRequest(id); });
 }
 
-// Each gateway passes on an answer of the only engine.
-void LetEngineTellAll(GatewayFixture* world) {
-  for (size_t gateway = 0; gateway <= world->more_gateways.size(); ++gateway) {
-    BOOST_REQUIRE(world->RunUntil([&] {
-      std::string request = world->StreamRequest(absl::StrCat("told-", gateway));
-      return world->Call(request, gateway).head.status == 200;
+// Makes each gateway receive an answer of the only engine, and with it the engine's notice.
+void LetReportToAll(GatewayFixture* fixture) {
+  for (size_t gateway = 0; gateway <= fixture->more_gateways.size(); ++gateway) {
+    BOOST_REQUIRE(fixture->RunUntil([&] {
+      std::string request = fixture->StreamRequest(absl::StrCat("told-", gateway));
+      return fixture->Call(request, gateway).head.status == 200;
     }));
   }
 }
 
-// The most requests that reached an engine within the users' window, from `first` on.
-size_t MostInWindow(const EngineStandin& engine, size_t first) {
+// The maximum of requests that reached the engine within any window of kWindow, from the request
+// with index `first` on.
+size_t MaxInWindow(const EngineStandin& engine, size_t first) {
   size_t most = 0;
   const std::vector<EngineStandin::Seen>& seen = engine.seen();
   for (size_t begin = first; begin < seen.size(); ++begin) {
@@ -69,24 +68,24 @@
   return most;
 }
 
-// The engines that any request so far has named as its readers.
-std::vector<EngineStandin*> Readers(const GatewayFixture& world) {
+// The engines that requests so far have named as readers.
+std::vector<EngineStandin*> Readers(const GatewayFixture& fixture) {
   std::string named;
-  for (const auto& engine : world.engines) {
+  for (const auto& engine : fixture.engines) {
     for (const EngineStandin::Seen& seen : engine->seen()) {
       auto readers = FindHeader(seen.request.head.headers, platform::kReaders);
       if (readers) named += std::string(*readers) + ",";
     }
   }
   std::vector<EngineStandin*> found;
-  for (const auto& engine : world.engines) {
+  for (const auto& engine : fixture.engines) {
     if (absl::StrContains(named, engine->address().ToString())) found.push_back(engine.get());
   }
   return found;
 }
 
-std::string VastRequest(const GatewayFixture& world, const std::string& id) {
-  std::string request = world.StreamRequest(id);
+std::string VeryLongRequest(const GatewayFixture& fixture, const std::string& id) {
+  std::string request = fixture.StreamRequest(id);
   return request.replace(request.find("1000,80"), 7, "200000,80");
 }
 
@@ -95,61 +94,61 @@
          FindHeader(reply.head.headers, platform::kRetryAfter).has_value();
 }
 
-BOOST_AUTO_TEST_CASE(OneGatewayKeepsToALimit) {
-  auto world = StartedWorld(/*engines=*/1, /*gateways=*/1);
-  LetEngineTellAll(world.get());
-  EngineStandin& engine = *world->engines[0];
+BOOST_AUTO_TEST_CASE(OneGatewayKeepsALimit) {
+  auto fixture = StartedFixture(/*engines=*/1, /*gateways=*/1);
+  LetReportToAll(fixture.get());
+  EngineStandin& engine = *fixture->engines[0];
   engine.Say({.limit_per_s = kLimit});
-  LetEngineTellAll(world.get());
+  LetReportToAll(fixture.get());
   size_t first = engine.seen().size();
-  auto replies = SendMany(world.get(), 60, "more");
-  BOOST_TEST(MostInWindow(engine, first) <= kMostInWindow);
-  // What it cannot take is refused at once, with when to come back.
+  auto replies = SendMany(fixture.get(), 60, "more");
+  BOOST_TEST(MaxInWindow(engine, first) <= kMaxInWindow);
+  // Requests beyond the limit are refused at once and say when to try again.
   for (const auto& reply : replies) {
     BOOST_TEST((reply->head.status == 200 || IsRefusedWithTime(*reply)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(GatewaysKeepToALimitTogether) {
-  auto world = StartedWorld(/*engines=*/1, /*gateways=*/5);
-  EngineStandin& engine = *world->engines[0];
+BOOST_AUTO_TEST_CASE(GatewaysKeepALimitTogether) {
+  auto fixture = StartedFixture(/*engines=*/1, /*gateways=*/5);
+  EngineStandin& engine = *fixture->engines[0];
   engine.Say({.limit_per_s = kLimit});
-  LetEngineTellAll(world.get());
+  LetReportToAll(fixture.get());
   size_t first = engine.seen().size();
-  SendMany(world.get(), 60, "more");
-  BOOST_TEST(MostInWindow(engine, first) <= kMostInWindow);
+  SendMany(fixture.get(), 60, "more");
+  BOOST_TEST(MaxInWindow(engine, first) <= kMaxInWindow);
 }
 
-// Second attempts count as well.
-BOOST_AUTO_TEST_CASE(RetriesKeepToALimit) {
-  auto world = StartedWorld(/*engines=*/2, /*gateways=*/1);
-  EngineStandin& limited = *world->engines[0];
+// Second attempts count towards the limit.
+BOOST_AUTO_TEST_CASE(RetriesKeepALimit) {
+  auto fixture = StartedFixture(/*engines=*/2, /*gateways=*/1);
+  EngineStandin& limited = *fixture->engines[0];
   limited.Say({.limit_per_s = kLimit});
-  world->engines[1]->FailAll(EngineFault::kNotRun);
-  SendMany(world.get(), 2, "told");
+  fixture->engines[1]->FailAll(EngineFault::kNotRun);
+  SendMany(fixture.get(), 2, "told");
   BOOST_REQUIRE(!limited.seen().empty());
   size_t first = limited.seen().size();
-  SendMany(world.get(), 60, "more");
-  BOOST_TEST(MostInWindow(limited, first) <= kMostInWindow);
+  SendMany(fixture.get(), 60, "more");
+  BOOST_TEST(MaxInWindow(limited, first) <= kMaxInWindow);
 }
 
-// To read a part of a prompt for another engine is work that the engine has not agreed to.
-BOOST_AUTO_TEST_CASE(AnEngineWithALimitIsNoReaderForOthers) {
-  auto world = StartedWorld(/*engines=*/3, /*gateways=*/1);
-  BOOST_REQUIRE(world->Call(VastRequest(*world, "vast")).head.status == 200);
-  BOOST_REQUIRE(!Readers(*world).empty());
-  for (const auto& engine : world->engines) engine->Say({.limit_per_s = kLimit});
-  // So many at once that each engine gets one and tells.
+// An engine that states a limit has not agreed to read parts of prompts for other engines.
+BOOST_AUTO_TEST_CASE(AnEngineWithALimitIsNoReader) {
+  auto fixture = StartedFixture(/*engines=*/3, /*gateways=*/1);
+  BOOST_REQUIRE(fixture->Call(VeryLongRequest(*fixture, "vast")).head.status == 200);
+  BOOST_REQUIRE(!Readers(*fixture).empty());
+  for (const auto& engine : fixture->engines) engine->Say({.limit_per_s = kLimit});
+  // Enough requests at once for each engine to get one and to state its limit in the answer.
   std::vector<std::shared_ptr<Reply>> told;
   for (int i = 0; i < 40; ++i) {
-    told.push_back(world->Send(world->StreamRequest(absl::StrCat("told-", i))));
+    told.push_back(fixture->Send(fixture->StreamRequest(absl::StrCat("told-", i))));
   }
-  BOOST_REQUIRE(world->RunUntil([&] {
+  BOOST_REQUIRE(fixture->RunUntil([&] {
     return std::all_of(told.begin(), told.end(), [](const auto& one) { return one->done; });
   }));
-  for (const auto& engine : world->engines) BOOST_REQUIRE(!engine->seen().empty());
-  for (int i = 0; i < 6; ++i) world->Call(VastRequest(*world, absl::StrCat("vaster-", i)));
-  for (const auto& engine : world->engines) {
+  for (const auto& engine : fixture->engines) BOOST_REQUIRE(!engine->seen().empty());
+  for (int i = 0; i < 6; ++i) fixture->Call(VeryLongRequest(*fixture, absl::StrCat("vaster-", i)));
+  for (const auto& engine : fixture->engines) {
     for (const EngineStandin::Seen& seen : engine->seen()) {
       std::string id(FindHeader(seen.request.head.headers, platform::kAttemptId).value_or(""));
       bool is_later = absl::StartsWith(id, "vaster");
--- a/src/gateway/testing/engine_rest_test.cc
+++ b/src/gateway/testing/engine_rest_test.cc
@@ -1,15 +1,12 @@
-// An engine that turns a request away and asks for a pause gets nothing from that gateway until
-// its end.
+// An engine that refuses a request and asks for a rest gets nothing from that gateway until the
+// rest has ended.
 //
-// What was seen: an engine that had asked a gateway for three seconds of rest got three requests
-// from it in that time; two are allowed.
+// Failure guarded against: an engine that had asked a gateway for three seconds of rest got three
+// requests from it in that time; two requests are allowed.
 //
-// How it came about: an engine that failed twice is left alone for 0.6 seconds and more, whatever
-// it asks for, and where the others had been tried it is taken again before that.
-//
-// The cause: the time in such an answer was read by nobody.
-//
-// What proved it: the first case here, in which all ten requests of the pause reached the engine.
+// How it comes about: an engine that has failed twice is set aside for 0.6 seconds and more.  If
+// the gateway does not read the time in the answer, it uses the engine again after that, or
+// earlier if the other engines have been tried.
 
 #define BOOST_TEST_MODULE engine_rest
 #include <algorithm>
@@ -29,36 +26,37 @@
 constexpr Duration kRest = milliseconds(1500);
 constexpr Duration kPause = milliseconds(20);
 
-std::unique_ptr<GatewayFixture> StartedWorld(int apps, int gateways = 1) {
-  auto world = std::make_unique<GatewayFixture>(GatewayFixtureOptions{.engines = 1, .apps = apps});
-  world->Publish(world->DefaultConfig());
-  world->StartGateway();
-  while (world->more_gateways.size() + 1 < static_cast<size_t>(gateways)) world->AddGateway();
-  return world;
+std::unique_ptr<GatewayFixture> StartedFixture(int apps, int gateways = 1) {
+  auto fixture =
+      std::make_unique<GatewayFixture>(GatewayFixtureOptions{.engines = 1, .apps = apps});
+  fixture->Publish(fixture->DefaultConfig());
+  fixture->StartGateway();
+  while (fixture->more_gateways.size() + 1 < static_cast<size_t>(gateways)) fixture->AddGateway();
+  return fixture;
 }
 
-std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* world, int count,
+std::vector<std::shared_ptr<Reply>> SendMany(GatewayFixture* fixture, int count,
                                              const std::string& name) {
-  return world->SendMany(count, name, kPause,
-                         [world](const std::string& id) { return world->SafeRequest(id); });
+  return fixture->SendMany(count, name, kPause,
+                           [fixture](const std::string& id) { return fixture->SafeRequest(id); });
 }
 
-// The plain service's engine that an idle gateway takes first.
-EngineStandin& FirstInOrder(GatewayFixture* world) {
-  BOOST_REQUIRE(world->Call(world->SafeRequest("first")).head.status == 200);
+// Returns the engine of the plain service that a gateway without load chooses first.
+EngineStandin& FirstInOrder(GatewayFixture* fixture) {
+  BOOST_REQUIRE(fixture->Call(fixture->SafeRequest("first")).head.status == 200);
   auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
-  return **std::find_if(world->apps.begin(), world->apps.end(), has_seen);
+  return **std::find_if(fixture->apps.begin(), fixture->apps.end(), has_seen);
 }
 
-EngineStandin& Other(GatewayFixture* world, const EngineStandin& engine) {
-  return *world->apps[world->apps[0].get() == &engine ? 1 : 0];
+EngineStandin& Other(GatewayFixture* fixture, const EngineStandin& engine) {
+  return *fixture->apps[fixture->apps[0].get() == &engine ? 1 : 0];
 }
 
-// Has the engine ask the first gateway for a pause; tells when it ends.
-Time AskForRest(GatewayFixture* world, EngineStandin* engine) {
+// Makes the engine ask the first gateway for a rest.  Returns when the rest ends.
+Time AskForRest(GatewayFixture* fixture, EngineStandin* engine) {
   engine->Say({.rest = kRest});
   size_t before = engine->seen().size();
-  world->Call(world->SafeRequest("asks"));
+  fixture->Call(fixture->SafeRequest("asks"));
   BOOST_REQUIRE(engine->seen().size() > before);
   engine->Say({});
   return engine->seen().back().at + kRest;
@@ -70,8 +68,8 @@
                     [end](const EngineStandin::Seen& seen) { return seen.at < end; }));
 }
 
-// At once, and with when the pause ends.
-bool IsRefusedUntilTheEnd(const Reply& reply) {
+// Whether the request was refused with a time to try again that lies within the rest.
+bool IsRefusedForTheRest(const Reply& reply) {
   std::string text(FindHeader(reply.head.headers, platform::kRetryAfter).value_or(""));
   double come_back = 0;
   bool says_when = absl::SimpleAtod(text, &come_back);
@@ -79,82 +77,83 @@
          come_back >= 0.3 && come_back <= ToSeconds(kRest);
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineThatAsksForAPauseGetsNothingUntilItsEnd) {
-  auto world = StartedWorld(/*apps=*/1);
-  EngineStandin& engine = *world->apps[0];
-  Time rest_ends = AskForRest(world.get(), &engine);
+BOOST_AUTO_TEST_CASE(AnEngineGetsNothingDuringItsRest) {
+  auto fixture = StartedFixture(/*apps=*/1);
+  EngineStandin& engine = *fixture->apps[0];
+  Time rest_ends = AskForRest(fixture.get(), &engine);
   size_t asked = engine.seen().size();
-  auto refused = SendMany(world.get(), 10, "meanwhile");
+  auto refused = SendMany(fixture.get(), 10, "meanwhile");
   BOOST_REQUIRE(Now() < rest_ends);
   BOOST_TEST(engine.seen().size() == asked);
-  for (const auto& reply : refused) BOOST_TEST(IsRefusedUntilTheEnd(*reply));
-  BOOST_REQUIRE(world->RunUntil([rest_ends] { return Now() > rest_ends + milliseconds(50); }));
-  BOOST_TEST(world->Call(world->SafeRequest("later")).head.status == 200);
+  for (const auto& reply : refused) BOOST_TEST(IsRefusedForTheRest(*reply));
+  BOOST_REQUIRE(fixture->RunUntil([rest_ends] { return Now() > rest_ends + milliseconds(50); }));
+  BOOST_TEST(fixture->Call(fixture->SafeRequest("later")).head.status == 200);
   BOOST_TEST(SeenBefore(engine, rest_ends) == asked);
 }
 
-// Not even where it is the only one that is left.
-BOOST_AUTO_TEST_CASE(NoRetryGoesThere) {
-  auto world = StartedWorld(/*apps=*/2);
-  EngineStandin& resting = FirstInOrder(world.get());
-  Time rest_ends = AskForRest(world.get(), &resting);
+// This holds even if the resting engine is the only one that is left.
+BOOST_AUTO_TEST_CASE(ARestingEngineGetsNoRetries) {
+  auto fixture = StartedFixture(/*apps=*/2);
+  EngineStandin& resting = FirstInOrder(fixture.get());
+  Time rest_ends = AskForRest(fixture.get(), &resting);
   size_t asked = resting.seen().size();
-  Other(world.get(), resting).FailAll(EngineFault::kNotRun);
-  SendMany(world.get(), 10, "meanwhile");
+  Other(fixture.get(), resting).FailAll(EngineFault::kNotRun);
+  SendMany(fixture.get(), 10, "meanwhile");
   BOOST_REQUIRE(Now() < rest_ends);
   BOOST_TEST(resting.seen().size() == asked);
 }
 
-// What an engine has answered is passed on rather than replaced by a refusal.
-BOOST_AUTO_TEST_CASE(AFailureOfTheOnlyOneLeftIsPassedOn) {
-  auto world = StartedWorld(/*apps=*/2);
-  EngineStandin& resting = FirstInOrder(world.get());
-  Time rest_ends = AskForRest(world.get(), &resting);
-  Other(world.get(), resting).FailAll(EngineFault::kFailed);
-  Reply reply = world->Call(world->SafeRequest("fails"));
+// The failure that an engine has answered is forwarded and not replaced by a refusal.
+BOOST_AUTO_TEST_CASE(AFailureOfTheOnlyOtherEngineIsForwarded) {
+  auto fixture = StartedFixture(/*apps=*/2);
+  EngineStandin& resting = FirstInOrder(fixture.get());
+  Time rest_ends = AskForRest(fixture.get(), &resting);
+  Other(fixture.get(), resting).FailAll(EngineFault::kFailed);
+  Reply reply = fixture->Call(fixture->SafeRequest("fails"));
   BOOST_REQUIRE(Now() < rest_ends);
   BOOST_TEST(reply.head.status == 500);
   BOOST_TEST(FindHeader(reply.head.headers, platform::kSeal).has_value());
 }
 
-// The memory of a prompt that runs is kept, but the engine is not asked more than it takes.
-BOOST_AUTO_TEST_CASE(ATicketThereIsProlongedAsLateAsItMayBe) {
+// The memory of a running prompt stays reserved, but the resting engine gets as few renewal orders
+// as possible.
+BOOST_AUTO_TEST_CASE(ATicketAtARestingEngineIsRenewedAsLateAsPossible) {
   GatewayFixtureOptions options{.engines = 2};
   options.engine.events = 60;
   options.engine.event_every = milliseconds(60);
-  auto world = std::make_unique<GatewayFixture>(options);
-  world->Publish(world->DefaultConfig());
-  world->StartGateway();
-  std::string vast = world->StreamRequest("vast");
-  vast.replace(vast.find("1000,80"), 7, "400000,80");
-  auto running = world->Send(vast);
+  auto fixture = std::make_unique<GatewayFixture>(options);
+  fixture->Publish(fixture->DefaultConfig());
+  fixture->StartGateway();
+  std::string very_long = fixture->StreamRequest("vast");
+  very_long.replace(very_long.find("1000,80"), 7, "400000,80");
+  auto running = fixture->Send(very_long);
   auto holder = [&]() -> EngineStandin* {
-    for (const auto& engine : world->engines) {
+    for (const auto& engine : fixture->engines) {
       if (!engine->tickets().empty()) return engine.get();
     }
     return nullptr;
   };
-  BOOST_REQUIRE(world->RunUntil([&] { return holder() != nullptr; }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return holder() != nullptr; }));
   EngineStandin& resting = *holder();
-  EngineStandin& main = *world->engines[world->engines[0].get() == &resting ? 1 : 0];
-  BOOST_REQUIRE(world->RunUntil([&] { return !main.seen().empty(); }));
+  EngineStandin& main = *fixture->engines[fixture->engines[0].get() == &resting ? 1 : 0];
+  BOOST_REQUIRE(fixture->RunUntil([&] { return !main.seen().empty(); }));
   main.FailAll(EngineFault::kNotRun);
   resting.Say({.rest = kRest});
-  world->Call(world->StreamRequest("asks"));
+  fixture->Call(fixture->StreamRequest("asks"));
   BOOST_REQUIRE(!resting.seen().empty());
   Time asked = resting.seen().back().at;
-  BOOST_REQUIRE(world->RunUntil([&] { return running->done; }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return running->done; }));
   BOOST_TEST(running->whole());
   BOOST_TEST(running->head.status == 200);
   for (Time order : resting.orders()) BOOST_TEST((order < asked || order > asked + kRest));
   BOOST_TEST((resting.orders().back() > asked + kRest));
 }
 
-// The pause was asked of one gateway.
-BOOST_AUTO_TEST_CASE(OtherGatewaysMayAsk) {
-  auto world = StartedWorld(/*apps=*/1, /*gateways=*/2);
-  Time rest_ends = AskForRest(world.get(), world->apps[0].get());
-  BOOST_TEST(world->Call(world->SafeRequest("other"), 1).head.status == 200);
+// A rest applies only to the gateway that was asked for it.
+BOOST_AUTO_TEST_CASE(OtherGatewaysMaySendRequests) {
+  auto fixture = StartedFixture(/*apps=*/1, /*gateways=*/2);
+  Time rest_ends = AskForRest(fixture.get(), fixture->apps[0].get());
+  BOOST_TEST(fixture->Call(fixture->SafeRequest("other"), 1).head.status == 200);
   BOOST_REQUIRE(Now() < rest_ends);
 }
 
--- a/src/gateway/testing/engine_restart_test.cc
+++ b/src/gateway/testing/engine_restart_test.cc
@@ -1,5 +1,4 @@
-// A gateway whose engines start again under their id, or whose list holds entries that
-// no engine wrote.
+// Engines that restart under the same id, and entries of the engine list that no engine wrote.
 
 #define BOOST_TEST_MODULE engine_restart
 #include <boost/test/unit_test.hpp>
@@ -15,125 +14,127 @@
 
 constexpr const char* kEngines = "keyed.servers";
 
-std::unique_ptr<GatewayFixture> StartedWorld(const GatewayFixtureOptions& options) {
-  auto world = std::make_unique<GatewayFixture>(options);
-  world->Publish(world->DefaultConfig());
-  world->StartGateway();
-  return world;
+std::unique_ptr<GatewayFixture> StartedFixture(const GatewayFixtureOptions& options) {
+  auto fixture = std::make_unique<GatewayFixture>(options);
+  fixture->Publish(fixture->DefaultConfig());
+  fixture->StartGateway();
+  return fixture;
 }
 
-// Lists a life of an engine.
-void ListLife(GatewayFixture* world, const EngineStandin& engine, const std::string& service,
-              int64_t born) {
+// Lists one incarnation of an engine.  Incarnations of an id are ordered by `born`.
+void ListIncarnation(GatewayFixture* fixture, const EngineStandin& engine,
+                     const std::string& service, int64_t born) {
   EngineRecord record{engine.id(), service, engine.address(), "hall-1", 16, false, born};
-  world->store.Put(kEngines, engine.id(), platform::EngineDocument(record));
+  fixture->store.Put(kEngines, engine.id(), platform::EngineDocument(record));
 }
 
-// Sends requests that may be repeated, a few at a time so that each idle engine gets one,
-// until `engine` has got one.
-bool ServesSoon(GatewayFixture* world, const EngineStandin& engine) {
+// Sends repeatable requests until `engine` gets one; false if it does not in time.  Several are
+// sent at a time, so that each idle engine gets one.
+bool ServesSoon(GatewayFixture* fixture, const EngineStandin& engine) {
   constexpr int kAtOnce = 4;
   size_t before = engine.seen().size();
   int calls = 0;
-  return world->RunUntil([&] {
+  return fixture->RunUntil([&] {
     std::vector<std::shared_ptr<Reply>> replies;
     for (int i = 0; i < kAtOnce; ++i) {
       std::string id = absl::StrCat(engine.id(), "-", before, "-", calls++);
-      replies.push_back(world->Send(world->SafeRequest(id)));
+      replies.push_back(fixture->Send(fixture->SafeRequest(id)));
     }
-    for (const auto& reply : replies) world->RunUntil([&] { return reply->done; });
+    for (const auto& reply : replies) fixture->RunUntil([&] { return reply->done; });
     return engine.seen().size() > before;
   });
 }
 
-BOOST_AUTO_TEST_CASE(ALaterLifeElsewhereGetsTheWorkAndAnEarlierEntryDoesNotBringItBack) {
-  auto world = StartedWorld({.engines = 1, .apps = 1});
-  EngineStandin& first = *world->apps[0];
-  EngineStandin second(&world->loop, {.id = first.id()});
-  ListLife(world.get(), second, "app", 9);
-  BOOST_TEST(ServesSoon(world.get(), second));
-  size_t served_by_first = first.seen().size();
-  ListLife(world.get(), first, "app", 5);
-  // A marker behind it in the same log shows when the earlier entry has been read.
-  EngineStandin marker(&world->loop, {.id = "app-marker"});
-  ListLife(world.get(), marker, "app", 1);
-  BOOST_TEST(ServesSoon(world.get(), marker));
-  for (int i = 0; i < 10; ++i) world->Call(world->SafeRequest(absl::StrCat("after-", i)));
-  BOOST_TEST(first.seen().size() == served_by_first);
+BOOST_AUTO_TEST_CASE(ALaterIncarnationGetsTheRequestsDespiteAnEarlierEntry) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 1});
+  EngineStandin& earlier = *fixture->apps[0];
+  EngineStandin later(&fixture->loop, {.id = earlier.id()});
+  ListIncarnation(fixture.get(), later, "app", 9);
+  BOOST_TEST(ServesSoon(fixture.get(), later));
+  size_t served_by_earlier = earlier.seen().size();
+  ListIncarnation(fixture.get(), earlier, "app", 5);
+  // A later entry in the same topic: when the gateway uses this engine, it has read the earlier
+  // entry too.
+  EngineStandin marker(&fixture->loop, {.id = "app-marker"});
+  ListIncarnation(fixture.get(), marker, "app", 1);
+  BOOST_TEST(ServesSoon(fixture.get(), marker));
+  for (int i = 0; i < 10; ++i) fixture->Call(fixture->SafeRequest(absl::StrCat("after-", i)));
+  BOOST_TEST(earlier.seen().size() == served_by_earlier);
 }
 
-// What may have run before the restart is never said to be not run after it.
-BOOST_AUTO_TEST_CASE(WhatMayHaveRunBeforeARestartIsNotSaidToBeNotRun) {
-  auto world = StartedWorld({.engines = 1, .apps = 1});
-  EngineStandin& engine = *world->apps[0];
+// A request that may have run before the restart must not be reported as not run after it.
+BOOST_AUTO_TEST_CASE(ARequestThatMayHaveRunIsNotReportedAsNotRun) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 1});
+  EngineStandin& engine = *fixture->apps[0];
   engine.FailNext(EngineFault::kSilent);
-  std::shared_ptr<Reply> reply = world->Send(world->OnceRequest("once"));
-  BOOST_REQUIRE(world->RunUntil([&] { return engine.seen().size() == 1; }));
-  EngineStandin again(&world->loop, {.id = engine.id()});
-  ListLife(world.get(), again, "app", 9);
-  BOOST_TEST(ServesSoon(world.get(), again));
-  BOOST_TEST(world->RunUntil([&] { return reply->done; }));
+  std::shared_ptr<Reply> reply = fixture->Send(fixture->OnceRequest("once"));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return engine.seen().size() == 1; }));
+  EngineStandin again(&fixture->loop, {.id = engine.id()});
+  ListIncarnation(fixture.get(), again, "app", 9);
+  BOOST_TEST(ServesSoon(fixture.get(), again));
+  BOOST_TEST(fixture->RunUntil([&] { return reply->done; }));
   int status = reply->head.status;
   BOOST_TEST((status == 502 || status == 504));
-  BOOST_TEST(world->RunsOf("once") <= 1);
+  BOOST_TEST(fixture->RunsOf("once") <= 1);
 }
 
-// Connections to an earlier life are not used for the next one: nobody answers there.
-BOOST_AUTO_TEST_CASE(TheNextLifeGetsNewConnections) {
-  auto world = StartedWorld({.engines = 1, .apps = 1});
-  EngineStandin& first = *world->apps[0];
-  world->Call(world->SafeRequest("warm"));
-  // The earlier life's machine has lost power: its connections stay open and silent.
-  first.FailAll(EngineFault::kSilent);
-  EngineStandin second(&world->loop, {.id = first.id()});
-  ListLife(world.get(), second, "app", 9);
-  BOOST_TEST(ServesSoon(world.get(), second));
-  size_t silent = first.seen().size();
+// Connections to an earlier incarnation are not used for the next one, since they get no answers.
+BOOST_AUTO_TEST_CASE(ALaterIncarnationGetsNewConnections) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 1});
+  EngineStandin& earlier = *fixture->apps[0];
+  fixture->Call(fixture->SafeRequest("warm"));
+  // The box of the earlier incarnation has lost power: its connections stay open and silent.
+  earlier.FailAll(EngineFault::kSilent);
+  EngineStandin later(&fixture->loop, {.id = earlier.id()});
+  ListIncarnation(fixture.get(), later, "app", 9);
+  BOOST_TEST(ServesSoon(fixture.get(), later));
+  size_t silent = earlier.seen().size();
   for (int i = 0; i < 5; ++i) {
-    BOOST_TEST(world->Call(world->SafeRequest(absl::StrCat("n-", i))).head.status == 200);
+    BOOST_TEST(fixture->Call(fixture->SafeRequest(absl::StrCat("n-", i))).head.status == 200);
   }
-  BOOST_TEST(first.seen().size() == silent);
+  BOOST_TEST(earlier.seen().size() == silent);
 }
 
-// An engine that has started again holds nothing; its ticket must not be asked for anew
-// by what was meant to prolong it.
-BOOST_AUTO_TEST_CASE(TicketsOfAnEarlierLifeAreNotProlonged) {
+// An engine that has restarted holds no memory for a prompt.  A renewal of an old ticket must not
+// reserve memory there again.
+BOOST_AUTO_TEST_CASE(TicketsOfAnEarlierIncarnationAreNotRenewed) {
   GatewayFixtureOptions options;
   options.engines = 2;
-  // Long enough for two prolongations.
+  // The answer takes long enough for two renewals of the ticket.
   options.engine.events = 10;
   options.engine.event_every = milliseconds(450);
-  auto world = StartedWorld(options);
-  std::string request = world->StreamRequest("vast");
+  auto fixture = StartedFixture(options);
+  std::string request = fixture->StreamRequest("vast");
   request.replace(request.find("1000,80"), 7, "400000,800");
-  std::shared_ptr<Reply> reply = world->Send(request);
+  std::shared_ptr<Reply> reply = fixture->Send(request);
   EngineStandin* helper = nullptr;
-  BOOST_REQUIRE(world->RunUntil([&] {
-    for (auto& engine : world->engines) helper = engine->tickets().empty() ? helper : engine.get();
+  BOOST_REQUIRE(fixture->RunUntil([&] {
+    for (auto& engine : fixture->engines)
+      helper = engine->tickets().empty() ? helper : engine.get();
     return helper != nullptr && !reply->body.empty();
   }));
-  ListLife(world.get(), *helper, "models", 9);
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->engine_restarts() == 1; }));
+  ListIncarnation(fixture.get(), *helper, "models", 9);
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->engine_restarts() == 1; }));
   BOOST_REQUIRE(!reply->done);
   helper->ForgetTickets();
-  bool prolonged = false;
-  BOOST_TEST(world->RunUntil([&] {
-    prolonged = prolonged || !helper->tickets().empty();
+  bool was_renewed = false;
+  BOOST_TEST(fixture->RunUntil([&] {
+    was_renewed = was_renewed || !helper->tickets().empty();
     return reply->done;
   }));
-  BOOST_TEST(!prolonged);
+  BOOST_TEST(!was_renewed);
 }
 
-struct ForeignRow {
+struct UnreadableEntry {
   const char* what;
   std::string key;
   std::string value;
 };
 
-// Entries that no engine wrote cost none of the others, whether they are read with the
-// whole list or as changes.
-BOOST_AUTO_TEST_CASE(EntriesOfAnotherWriterCostNoEngine) {
-  const ForeignRow table[] = {
+// Entries that no engine wrote must not remove any engine, whether they are read with the whole
+// list or as changes.
+BOOST_AUTO_TEST_CASE(UnreadableEntriesRemoveNoEngine) {
+  const UnreadableEntry table[] = {
       {"no JSON", "x-1", "\x01\xff\xfe"},
       {"another shape", "x-2", "[1,2]"},
       {"fields missing", "x-3", R"({"service":"app"})"},
@@ -142,44 +143,44 @@
       {"deep", "x-5", std::string(20'000, '[')},
   };
   for (bool before_start : {true, false}) {
-    GatewayFixture world({.engines = 1, .apps = 1});
-    world.Publish(world.DefaultConfig());
-    if (!before_start) world.StartGateway();
-    for (const ForeignRow& row : table) world.store.Put(kEngines, row.key, row.value);
-    if (before_start) world.StartGateway();
-    EngineStandin late(&world.loop, {.id = "app-late"});
-    ListLife(&world, late, "app", 1);
-    BOOST_TEST(ServesSoon(&world, late));
-    BOOST_TEST(ServesSoon(&world, *world.apps[0]));
-    BOOST_TEST(world.gateway->unreadable_entries() == std::size(table));
+    GatewayFixture fixture({.engines = 1, .apps = 1});
+    fixture.Publish(fixture.DefaultConfig());
+    if (!before_start) fixture.StartGateway();
+    for (const UnreadableEntry& row : table) fixture.store.Put(kEngines, row.key, row.value);
+    if (before_start) fixture.StartGateway();
+    EngineStandin late(&fixture.loop, {.id = "app-late"});
+    ListIncarnation(&fixture, late, "app", 1);
+    BOOST_TEST(ServesSoon(&fixture, late));
+    BOOST_TEST(ServesSoon(&fixture, *fixture.apps[0]));
+    BOOST_TEST(fixture.gateway->unreadable_entries() == std::size(table));
   }
 }
 
-// A record that is unreadable as such (its key's length is wrong) costs neither the rest
-// of the read nor the reads after it.
-BOOST_AUTO_TEST_CASE(ARecordWithoutAKeyDoesNotStopTheList) {
-  auto world = StartedWorld({.engines = 1, .apps = 1});
-  world->store.PutRaw(kEngines, std::string("\x09x", 2));
-  EngineStandin late(&world->loop, {.id = "app-late"});
-  ListLife(world.get(), late, "app", 1);
-  BOOST_TEST(ServesSoon(world.get(), late));
-  BOOST_TEST(world->gateway->unreadable_entries() >= 1u);
+// A record that cannot be split into key and value (its key length is wrong) must not stop the
+// current read or later reads of the list.
+BOOST_AUTO_TEST_CASE(ARecordWithoutAKeyDoesNotStopTheReading) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 1});
+  fixture->store.PutRaw(kEngines, std::string("\x09x", 2));
+  EngineStandin late(&fixture->loop, {.id = "app-late"});
+  ListIncarnation(fixture.get(), late, "app", 1);
+  BOOST_TEST(ServesSoon(fixture.get(), late));
+  BOOST_TEST(fixture->gateway->unreadable_entries() >= 1u);
 }
 
-// An entry that has become unreadable names its engine no longer; once it is written
-// well again, the engine is back.
-BOOST_AUTO_TEST_CASE(AnEngineWhoseEntryWasOverwrittenIsBackWithItsNextEntry) {
-  auto world = StartedWorld({.engines = 1, .apps = 2});
-  EngineStandin& overwritten = *world->apps[0];
-  world->store.Put(kEngines, overwritten.id(), "{}");
-  BOOST_TEST(world->RunUntil([&] { return world->gateway->unreadable_entries() == 1; }));
+// An engine whose entry was overwritten by an unreadable one gets no requests until its next
+// readable entry.
+BOOST_AUTO_TEST_CASE(AnEngineWithAnOverwrittenEntryReturnsWithItsNextEntry) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 2});
+  EngineStandin& overwritten = *fixture->apps[0];
+  fixture->store.Put(kEngines, overwritten.id(), "{}");
+  BOOST_TEST(fixture->RunUntil([&] { return fixture->gateway->unreadable_entries() == 1; }));
   size_t before = overwritten.seen().size();
   for (int i = 0; i < 10; ++i) {
-    BOOST_TEST(world->Call(world->SafeRequest(absl::StrCat("w-", i))).head.status == 200);
+    BOOST_TEST(fixture->Call(fixture->SafeRequest(absl::StrCat("w-", i))).head.status == 200);
   }
   BOOST_TEST(overwritten.seen().size() == before);
-  world->ListEngine(overwritten, "app");
-  BOOST_TEST(ServesSoon(world.get(), overwritten));
+  fixture->ListEngine(overwritten, "app");
+  BOOST_TEST(ServesSoon(fixture.get(), overwritten));
 }
 
 }  // namespace
--- a/src/gateway/testing/gateway_fixture.cc
+++ b/src/gateway/testing/gateway_fixture.cc
@@ -1,4 +1,5 @@
-// The configuration that tests begin with, and callers that collect their answers.
+// The default configuration has one service that runs models, with a streaming route, and one
+// plain service, with a repeatable and a non-repeatable route.
 
 #include "gateway/testing/gateway_fixture.h"
 
@@ -47,12 +48,12 @@
 
 }  // namespace
 
-GatewayFixture::GatewayFixture(const GatewayFixtureOptions& world_options)
-    : store(&this->loop), options(world_options) {
+GatewayFixture::GatewayFixture(const GatewayFixtureOptions& fixture_options)
+    : store(&this->loop), options(fixture_options) {
   for (int i = 0; i < this->options.engines; ++i) {
     EngineStandin::Options engine = this->options.engine;
     engine.id = absl::StrCat("engine-", i);
-    engine.ended = [this, number = static_cast<size_t>(i)] { this->OnEngineEnded(number); };
+    engine.ended = [this, number = static_cast<size_t>(i)] { this->OnEngineCrashed(number); };
     this->engines.push_back(std::make_unique<EngineStandin>(&this->loop, engine));
     this->ListEngine(*this->engines.back(), kModels);
   }
@@ -127,9 +128,9 @@
       this->NewGateway(this->more_gateways.size() + 2, this->store.address()));
   size_t others = this->more_gateways.size();
   CHECK(this->RunUntil([this, others] {
-    bool known = this->gateway->peers() == others;
-    for (const auto& one : this->more_gateways) known = known && one->peers() == others;
-    return known;
+    bool all_known = this->gateway->peers() == others;
+    for (const auto& other : this->more_gateways) all_known = all_known && other->peers() == others;
+    return all_known;
   }));
 }
 
@@ -146,12 +147,12 @@
   return number == 0 ? *this->gateway : *this->more_gateways[number - 1];
 }
 
-void GatewayFixture::OnEngineEnded(size_t number) {
-  this->ended += 1;
-  if (!this->return_after) return;
+void GatewayFixture::OnEngineCrashed(size_t number) {
+  this->crashes += 1;
+  if (!this->restart_after) return;
   EngineStandin* engine = this->engines[number].get();
-  std::string next_id = absl::StrCat("engine-", number, "-after-", this->ended);
-  this->loop.RunAfter(*this->return_after, [this, engine, next_id] {
+  std::string next_id = absl::StrCat("engine-", number, "-after-", this->crashes);
+  this->loop.RunAfter(*this->restart_after, [this, engine, next_id] {
     this->store.Put("keyed.servers", engine->id(), "");
     engine->StartAgain(next_id);
     this->ListEngine(*engine, kModels);
--- a/src/gateway/testing/gateway_fixture.h
+++ b/src/gateway/testing/gateway_fixture.h
@@ -1,13 +1,13 @@
-// A gateway with a store, engines and callers around it, all on one event loop:
-// what the bench plays, small enough for a test.
+// A test fixture: real gateways with stand-ins for the store and the engines, and with callers,
+// all on one event loop.
 //
-//   GatewayFixture world({.engines = 3});
-//   world.Publish(world.DefaultConfig());
-//   world.StartGateway();
-//   Reply reply = world.Call(world.StreamRequest("a1"));
+//   GatewayFixture fixture({.engines = 3});
+//   fixture.Publish(fixture.DefaultConfig());
+//   fixture.StartGateway();
+//   Reply reply = fixture.Call(fixture.StreamRequest("a1"));
 //
-// Sockets are real and time is real, but no test waits for a time: RunUntil runs
-// the loop until a condition holds and fails after kTestTimeout.
+// Sockets and time are real.  A test should wait for a condition and not for a time: RunUntil runs
+// the loop until the condition holds, and gives up after kTestTimeout.
 
 #ifndef GULLWARD_GATEWAY_TESTING_GATEWAY_FIXTURE_H_
 #define GULLWARD_GATEWAY_TESTING_GATEWAY_FIXTURE_H_
@@ -31,22 +31,23 @@
 inline constexpr Duration kTestTimeout = seconds(60);
 
 struct GatewayFixtureOptions {
+  // Engines of the service that runs models, and of the plain service.
   int engines = 3;
   int apps = 2;
+  // Options of each model engine.
   EngineStandin::Options engine = {};
-  // For the gateway.
+  // Settings of each gateway.
   Duration key_trust = seconds(5);
   KeyTrust key_trust_mode = KeyTrust::kBounded;
   Duration stop_grace = seconds(8);
   Duration leaving_bound = seconds(2);
   Mechanisms mechanisms = {};
-  // Every attempt that one request may need, from the first moment on, though a process
-  // that has just started has no slack yet: what fleets may retry together is not what
-  // tests of single requests are about.
+  // Allows every attempt that a request may need as soon as the gateway starts, when it has no
+  // slack yet.  The bound on all retries together is tested elsewhere (retry_budget_test.cc).
   RetryBounds retry = {.window = seconds(10), .ratio = kMostAttempts, .slack = 100};
 };
 
-// What a caller got.
+// What a caller received for one request.
 struct Reply {
   bool done = false;
   ChannelResult result = ChannelResult::kBroken;
@@ -58,51 +59,56 @@
 
 class GatewayFixture {
  public:
-  explicit GatewayFixture(const GatewayFixtureOptions& world_options);
+  // Starts the engines and lists them in the store.  Starts no gateway.
+  explicit GatewayFixture(const GatewayFixtureOptions& fixture_options);
   ~GatewayFixture();
 
+  // The configuration that tests begin with, as a document of the store.
   nlohmann::json DefaultConfig() const;
+  // Writes a configuration to the store.
   void Publish(const nlohmann::json& config);
+  // Writes an engine's entry to the store.
   void ListEngine(const EngineStandin& engine, const std::string& service, bool draining = false);
 
   // Starts the gateway and waits until it is ready.
   void StartGateway();
-  // Starts one more and waits until it is ready and all of them know each other.
+  // Starts one more gateway and waits until it is ready and every gateway has all others as peers.
   void AddGateway();
 
-  // Starts one more and does not wait.
+  // Starts one more gateway and does not wait for it.
   void AddGatewayUnready();
-  // Starts one more that has a store of its own, and waits until it is ready.
+  // Starts one more gateway that uses another store, and waits until it is ready.
   void AddGatewayWithStore(const SocketAddress& other_store);
 
-  // Engines that end are back after `delay` each, under an id of their own.
-  void LetEnginesReturnAfter(Duration delay) { this->return_after = delay; }
-  // Engines that have ended so far.
-  int engines_ended() const { return this->ended; }
+  // Restarts each engine that crashes from now on, `delay` after its crash and under a new id.
+  void RestartEnginesAfter(Duration delay) { this->restart_after = delay; }
+  // The number of engine crashes so far.
+  int engine_crashes() const { return this->crashes; }
 
-  // Whether the condition came true in time.
+  // Runs the loop until the condition holds.  Returns false if it does not within kTestTimeout.
   bool RunUntil(const std::function<bool()>& condition);
 
-  // A request for the stream route, the route that may be repeated, and the one
-  // that may not.
+  // The text of a request for the streaming route, for the plain route whose requests may be
+  // repeated, and for the plain route whose requests must not run twice.
   std::string StreamRequest(const std::string& id, const std::string& more_headers = "",
                             const std::string& body = "hello") const;
   std::string SafeRequest(const std::string& id) const;
   std::string OnceRequest(const std::string& id, const std::string& body = "order") const;
 
-  // Sends bytes on a new connection, to one of the gateways, and returns at once.
+  // Sends bytes to one of the gateways on a new connection, and returns at once.  Gateway 0 is
+  // `gateway`, the others are `more_gateways`.
   std::shared_ptr<Reply> Send(const std::string& request, size_t gateway_number = 0);
-  // Sends, and runs until the answer has ended.
+  // Sends a request and runs the loop until its answer has ended.
   Reply Call(const std::string& request, size_t gateway_number = 0);
-  // Sends `count` requests that `make` writes for ids NAME-0 and so on, by each gateway in turn,
-  // with a pause after each, and runs until all are answered.
+  // Sends `count` requests, to the gateways in turn and with a pause after each, and runs the loop
+  // until all are answered.  `make` returns the request for an id; the ids are NAME-0, NAME-1, ...
   std::vector<std::shared_ptr<Reply>> SendMany(
       int count, const std::string& name, Duration pause,
       const std::function<std::string(const std::string& id)>& make);
   // Closes the connections of all callers.
   void DropCallers() { this->callers.clear(); }
 
-  // Requests that any engine has run, by attempt id.
+  // How many times engines have run the request with this attempt id.
   int RunsOf(const std::string& id) const;
 
   EventLoop loop;
@@ -110,20 +116,20 @@
   std::vector<std::unique_ptr<EngineStandin>> engines;
   std::vector<std::unique_ptr<EngineStandin>> apps;
   std::unique_ptr<GatewayServer> gateway;
-  // Those started by AddGateway; the first of them is number 1.
+  // Gateways started by the AddGateway functions; the first of them is number 1.
   std::vector<std::unique_ptr<GatewayServer>> more_gateways;
-  // Where the gateway hears its peers; port 0 is the kernel's choice.
+  // Where gateways receive the datagrams of their peers; with port 0 the kernel chooses a port.
   SocketAddress peers_address{"127.0.0.1", 0};
 
  private:
   std::unique_ptr<GatewayServer> NewGateway(size_t number, const SocketAddress& at_store);
   std::unique_ptr<GatewayServer> NewUnreadyGateway(size_t number, const SocketAddress& at_store);
   const GatewayServer& Gateway(size_t number) const;
-  void OnEngineEnded(size_t engine);
+  void OnEngineCrashed(size_t engine);
 
   GatewayFixtureOptions options;
-  std::optional<Duration> return_after;
-  int ended = 0;
+  std::optional<Duration> restart_after;
+  int crashes = 0;
   std::vector<std::shared_ptr<RequestChannel>> callers;
 };
 
--- a/src/gateway/testing/gateway_test.cc
+++ b/src/gateway/testing/gateway_test.cc
@@ -1,5 +1,5 @@
-// Whole requests through a real gateway: every fault of an engine on every kind of
-// route, the store's troubles, keys, stops, and what callers must not get away with.
+// Requests through a real gateway: each fault of an engine on each kind of route, faults of the
+// store, API keys, shutdown, and malformed or forged input from callers.
 
 #define BOOST_TEST_MODULE gateway
 #include <boost/test/unit_test.hpp>
@@ -22,11 +22,11 @@
     "id: 1\ndata: event-1\n\nid: 2\ndata: event-2\n\n"
     "id: 3\ndata: event-3\n\nid: 4\ndata: event-4\n\n";
 
-std::unique_ptr<GatewayFixture> StartedWorld(const GatewayFixtureOptions& options = {}) {
-  auto world = std::make_unique<GatewayFixture>(options);
-  world->Publish(world->DefaultConfig());
-  world->StartGateway();
-  return world;
+std::unique_ptr<GatewayFixture> StartedFixture(const GatewayFixtureOptions& options = {}) {
+  auto fixture = std::make_unique<GatewayFixture>(options);
+  fixture->Publish(fixture->DefaultConfig());
+  fixture->StartGateway();
+  return fixture;
 }
 
 template <typename Head>
@@ -38,41 +38,41 @@
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-// An engine that the first request at any engine names as a helper.
-EngineStandin* HelperOfFirstRequest(const GatewayFixture& world) {
-  for (const auto& engine : world.engines) {
+// Returns an engine that the first request of any engine names as a reader; null if there is none.
+EngineStandin* ReaderOfFirstRequest(const GatewayFixture& fixture) {
+  for (const auto& engine : fixture.engines) {
     if (engine->seen().empty()) continue;
     std::string helpers = HeaderOf(engine->seen().front().request.head, platform::kReaders);
-    for (const auto& other : world.engines) {
+    for (const auto& other : fixture.engines) {
       if (helpers.find(other->address().ToString()) != std::string::npos) return other.get();
     }
   }
   return nullptr;
 }
 
-BOOST_AUTO_TEST_CASE(EveryKindOfRequestIsServedWhole) {
-  auto world = StartedWorld();
-  Reply stream = world->Call(world->StreamRequest("s1"));
+BOOST_AUTO_TEST_CASE(EachKindOfRequestIsServedWhole) {
+  auto fixture = StartedFixture();
+  Reply stream = fixture->Call(fixture->StreamRequest("s1"));
   BOOST_TEST(stream.head.status == 200);
   BOOST_TEST(stream.body == kWholeStream);
   BOOST_TEST(absl::StartsWith(HeaderOf(stream.head, platform::kSeal), "seal-of-engine-"));
   BOOST_TEST(HeaderOf(stream.head, platform::kAttemptId) == "s1");
-  for (const std::string& request : {world->SafeRequest("s2"), world->OnceRequest("s3")}) {
-    Reply reply = world->Call(request);
+  for (const std::string& request : {fixture->SafeRequest("s2"), fixture->OnceRequest("s3")}) {
+    Reply reply = fixture->Call(request);
     BOOST_TEST(reply.head.status == 200);
     BOOST_TEST(reply.body == "the whole answer");
   }
 }
 
-// A fault hits the first engine that is asked; the rest are well.
-BOOST_AUTO_TEST_CASE(NoFaultOfOneEngineReachesTheCallerOfARepeatableRequest) {
+// Each engine has the fault for its first request only.
+BOOST_AUTO_TEST_CASE(NoFaultOfAnEngineReachesTheCallerOfARepeatableRequest) {
   for (EngineFault fault : AllEngineFaults()) {
-    auto world = StartedWorld();
-    for (auto& engine : world->engines) engine->FailNext(fault);
-    for (auto& app : world->apps) app->FailNext(fault);
-    // With two attempts and a fault on each engine, only the faults that leave the
-    // first answer usable, or that are not the request's, may end in success.
-    Reply stream = world->Call(world->StreamRequest("s"));
+    auto fixture = StartedFixture();
+    for (auto& engine : fixture->engines) engine->FailNext(fault);
+    for (auto& app : fixture->apps) app->FailNext(fault);
+    // There are two attempts and each engine has the fault, so the request succeeds only if the
+    // fault leaves the answer usable or does not concern this request.
+    Reply stream = fixture->Call(fixture->StreamRequest("s"));
     BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault)) {
       if (stream.head.status == 200 && stream.whole()) {
         BOOST_TEST(stream.body == kWholeStream);
@@ -83,15 +83,15 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AStreamIsTakenUpElsewhereAfterItsLastWholeEvent) {
+BOOST_AUTO_TEST_CASE(AStreamResumesOnAnotherEngineAfterItsLastWholeEvent) {
   for (EngineFault fault : {EngineFault::kTornEvent, EngineFault::kResetUnanswered,
                             EngineFault::kFailed, EngineFault::kUnsealed, EngineFault::kEncoded}) {
-    auto world = StartedWorld({.engines = 2});
-    // Both fail once; what was tried is not tried again before the others, so the
-    // second attempt must meet a well engine.
-    world->engines[0]->FailNext(fault);
-    Reply first = world->Call(world->StreamRequest("a"));
-    Reply second = world->Call(world->StreamRequest("b"));
+    auto fixture = StartedFixture({.engines = 2});
+    // One engine has a fault.  A second attempt goes to the engine that was not tried, which is
+    // healthy.
+    fixture->engines[0]->FailNext(fault);
+    Reply first = fixture->Call(fixture->StreamRequest("a"));
+    Reply second = fixture->Call(fixture->StreamRequest("b"));
     BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault)) {
       BOOST_TEST(first.body == kWholeStream);
       BOOST_TEST(second.body == kWholeStream);
@@ -99,14 +99,15 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhatMayNotBeRepeatedRunsAtMostOnceAndIsNeverFalselyRefused) {
+BOOST_AUTO_TEST_CASE(ANonRepeatableRequestRunsAtMostOnceAndIsNeverFalselyRefused) {
   for (EngineFault fault : AllEngineFaults()) {
-    auto world = StartedWorld();
-    for (auto& app : world->apps) app->FailAll(fault);
-    if (fault == EngineFault::kSilent) continue;  // Its own test: it takes the deadline.
-    Reply reply = world->Call(world->OnceRequest("once"));
+    auto fixture = StartedFixture();
+    for (auto& app : fixture->apps) app->FailAll(fault);
+    if (fault == EngineFault::kSilent)
+      continue;  // Has a test of its own, which waits for the deadline.
+    Reply reply = fixture->Call(fixture->OnceRequest("once"));
     BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault)) {
-      int runs = world->RunsOf("once");
+      int runs = fixture->RunsOf("once");
       BOOST_TEST(runs <= 1);
       if (reply.whole() && IsRefusal(reply.head.status)) BOOST_TEST(runs == 0);
       if (reply.whole() && reply.head.status == 200) BOOST_TEST(reply.body == "the whole answer");
@@ -114,41 +115,41 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ASilentEngineEndsInATimeOutThatPromisesNothing) {
-  auto world = StartedWorld();
-  for (auto& app : world->apps) app->FailAll(EngineFault::kSilent);
-  std::string request = world->OnceRequest("late");
+BOOST_AUTO_TEST_CASE(ASilentEngineLeadsToATimeoutThatDoesNotClaimNotRun) {
+  auto fixture = StartedFixture();
+  for (auto& app : fixture->apps) app->FailAll(EngineFault::kSilent);
+  std::string request = fixture->OnceRequest("late");
   request.replace(request.find("4000"), 4, "0300");
-  Reply reply = world->Call(request);
+  Reply reply = fixture->Call(request);
   BOOST_TEST(reply.head.status == 504);
-  BOOST_TEST(world->RunsOf("late") == 1);
-  BOOST_TEST(world->RunUntil([&] {
+  BOOST_TEST(fixture->RunsOf("late") == 1);
+  BOOST_TEST(fixture->RunUntil([&] {
     bool cancelled = false;
-    for (auto& app : world->apps) {
+    for (auto& app : fixture->apps) {
       for (const auto& seen : app->seen()) cancelled = cancelled || seen.cancelled;
     }
     return cancelled;
   }));
 }
 
-BOOST_AUTO_TEST_CASE(RefusedByAllEnginesMeansNotRunAndSaysWhenToComeBack) {
-  auto world = StartedWorld();
-  for (auto& app : world->apps) app->FailAll(EngineFault::kNotRun);
-  Reply reply = world->Call(world->OnceRequest("full"));
+BOOST_AUTO_TEST_CASE(ARefusalByAllEnginesMeansNotRunAndHasARetryTime) {
+  auto fixture = StartedFixture();
+  for (auto& app : fixture->apps) app->FailAll(EngineFault::kNotRun);
+  Reply reply = fixture->Call(fixture->OnceRequest("full"));
   BOOST_TEST(reply.head.status == 503);
   BOOST_TEST(HeaderOf(reply.head, platform::kRetryAfter) != "");
-  BOOST_TEST(world->RunsOf("full") == 0);
+  BOOST_TEST(fixture->RunsOf("full") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(ACallerThatLeavesIsCancelledAtTheEngine) {
+BOOST_AUTO_TEST_CASE(ARequestOfADisconnectedCallerIsCancelledAtTheEngine) {
   GatewayFixtureOptions options;
   options.engine.events = 1'000'000;
-  auto world = StartedWorld(options);
-  std::shared_ptr<Reply> reply = world->Send(world->StreamRequest("gone"));
-  BOOST_TEST(world->RunUntil([&] { return !reply->body.empty(); }));
-  world->DropCallers();
-  BOOST_TEST(world->RunUntil([&] {
-    for (auto& engine : world->engines) {
+  auto fixture = StartedFixture(options);
+  std::shared_ptr<Reply> reply = fixture->Send(fixture->StreamRequest("gone"));
+  BOOST_TEST(fixture->RunUntil([&] { return !reply->body.empty(); }));
+  fixture->DropCallers();
+  BOOST_TEST(fixture->RunUntil([&] {
+    for (auto& engine : fixture->engines) {
       for (const auto& seen : engine->seen()) {
         if (seen.cancelled) return true;
       }
@@ -157,15 +158,15 @@
   }));
 }
 
-BOOST_AUTO_TEST_CASE(EnginesGetWhatIsOursAndNothingForged) {
-  auto world = StartedWorld();
-  world->Call(
-      world->StreamRequest("f",
-                           "Tenant: thief\r\nExpect-Instance: other\r\nHelpers: 1.2.3.4:5\r\n"
-                           "Priority: 0\r\nX-Mine: kept\r\nTE: trailers\r\n"
-                           "Connection: keep-alive, Model\r\n"));
+BOOST_AUTO_TEST_CASE(EnginesGetTheGatewaysFieldsAndNoForgedOnes) {
+  auto fixture = StartedFixture();
+  fixture->Call(
+      fixture->StreamRequest("f",
+                             "Tenant: thief\r\nExpect-Instance: other\r\nHelpers: 1.2.3.4:5\r\n"
+                             "Priority: 0\r\nX-Mine: kept\r\nTE: trailers\r\n"
+                             "Connection: keep-alive, Model\r\n"));
   const RequestHead* head = nullptr;
-  for (auto& engine : world->engines) {
+  for (auto& engine : fixture->engines) {
     if (!engine->seen().empty()) head = &engine->seen().front().request.head;
   }
   BOOST_REQUIRE(head != nullptr);
@@ -192,8 +193,8 @@
   int status;
 };
 
-BOOST_AUTO_TEST_CASE(BadInputIsAnsweredAtOnceAndReachesNoEngine) {
-  auto world = StartedWorld();
+BOOST_AUTO_TEST_CASE(MalformedInputIsAnsweredAtOnceAndReachesNoEngine) {
+  auto fixture = StartedFixture();
   const std::string head =
       "POST /app/order/x HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: bad\r\n";
   const std::string key = "X-Api-Key: key-1\r\n";
@@ -214,71 +215,71 @@
   };
   for (const BadRequest& row : table) {
     BOOST_TEST_CONTEXT(row.what) {
-      Reply reply = world->Call(row.text);
+      Reply reply = fixture->Call(row.text);
       BOOST_TEST(reply.head.status == row.status);
       BOOST_TEST(absl::StrContains(reply.body, "\"code\":"));
     }
   }
-  for (auto& app : world->apps) BOOST_TEST(app->seen().empty());
+  for (auto& app : fixture->apps) BOOST_TEST(app->seen().empty());
 }
 
-BOOST_AUTO_TEST_CASE(APipelinedRequestWaitsItsTurn) {
-  auto world = StartedWorld();
-  auto reply = world->Send(world->SafeRequest("p1") + world->SafeRequest("p2"));
-  BOOST_TEST(world->RunUntil([&] { return reply->done; }));
+BOOST_AUTO_TEST_CASE(APipelinedRequestWaitsForTheAnswerBeforeIt) {
+  auto fixture = StartedFixture();
+  auto reply = fixture->Send(fixture->SafeRequest("p1") + fixture->SafeRequest("p2"));
+  BOOST_TEST(fixture->RunUntil([&] { return reply->done; }));
   BOOST_TEST(reply->body == "the whole answer");
-  BOOST_TEST(world->RunUntil([&] { return world->RunsOf("p2") == 1; }));
+  BOOST_TEST(fixture->RunUntil([&] { return fixture->RunsOf("p2") == 1; }));
 }
 
-BOOST_AUTO_TEST_CASE(AKeyThatIsTakenAwayStopsAndAVersionNeverGoesBack) {
-  auto world = StartedWorld();
-  BOOST_TEST(world->Call(world->SafeRequest("k1")).head.status == 200);
-  json config = world->DefaultConfig();
+BOOST_AUTO_TEST_CASE(ARevokedKeyIsRefusedAndAVersionNeverGoesBack) {
+  auto fixture = StartedFixture();
+  BOOST_TEST(fixture->Call(fixture->SafeRequest("k1")).head.status == 200);
+  json config = fixture->DefaultConfig();
   config["version"] = 7;
   config["tenants"][0]["apiKeys"] = {"key-2"};
-  world->Publish(config);
-  BOOST_TEST(
-      world->RunUntil([&] { return world->Call(world->SafeRequest("k2")).head.status == 401; }));
-  config = world->DefaultConfig();
+  fixture->Publish(config);
+  BOOST_TEST(fixture->RunUntil(
+      [&] { return fixture->Call(fixture->SafeRequest("k2")).head.status == 401; }));
+  config = fixture->DefaultConfig();
   config["version"] = 6;
-  world->Publish(config);
-  config = world->DefaultConfig();
+  fixture->Publish(config);
+  config = fixture->DefaultConfig();
   config["version"] = 8;
   config["tenants"][0]["apiKeys"] = {"key-2", "key-3"};
-  world->Publish(config);
-  // Once version 8 is in force, 6 has gone by.
-  std::string request = world->SafeRequest("k3");
+  fixture->Publish(config);
+  // When version 8 is in force, version 6 has been read and ignored.
+  std::string request = fixture->SafeRequest("k3");
   request.replace(request.find("key-1"), 5, "key-3");
-  BOOST_TEST(world->RunUntil([&] { return world->Call(request).head.status == 200; }));
-  BOOST_TEST(world->Call(world->SafeRequest("k4")).head.status == 401);
+  BOOST_TEST(fixture->RunUntil([&] { return fixture->Call(request).head.status == 200; }));
+  BOOST_TEST(fixture->Call(fixture->SafeRequest("k4")).head.status == 401);
 }
 
-BOOST_AUTO_TEST_CASE(KeysAreVouchedForOnlyWhileTheStoreWasReadLately) {
+BOOST_AUTO_TEST_CASE(KeysAreAcceptedOnlyIfTheStoreWasReadRecently) {
   for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
     GatewayFixtureOptions options;
     options.key_trust = milliseconds(600);
-    auto world = StartedWorld(options);
-    json config = world->DefaultConfig();
+    auto fixture = StartedFixture(options);
+    json config = fixture->DefaultConfig();
     config["version"] = 2;
     config["routes"][1]["public"] = true;
-    world->Publish(config);
-    std::string open = world->SafeRequest("open");
+    fixture->Publish(config);
+    std::string open = fixture->SafeRequest("open");
     open.erase(open.find("X-Api-Key: key-1\r\n"), 18);
-    BOOST_TEST(world->RunUntil([&] { return world->Call(open).head.status == 200; }));
-    world->store.SetTrouble(trouble);
-    BOOST_TEST(world->RunUntil(
-        [&] { return world->Call(world->StreamRequest("cut")).head.status == 503; }));
-    BOOST_TEST(!world->gateway->IsReady());
-    // What needs no key is served on.
-    BOOST_TEST(world->Call(open).head.status == 200);
-    world->store.SetTrouble(StoreTrouble::kNone);
-    BOOST_TEST(world->RunUntil(
-        [&] { return world->Call(world->StreamRequest("back")).head.status == 200; }));
+    BOOST_TEST(fixture->RunUntil([&] { return fixture->Call(open).head.status == 200; }));
+    fixture->store.SetTrouble(trouble);
+    BOOST_TEST(fixture->RunUntil(
+        [&] { return fixture->Call(fixture->StreamRequest("cut")).head.status == 503; }));
+    BOOST_TEST(!fixture->gateway->IsReady());
+    // Requests that need no key are still served.
+    BOOST_TEST(fixture->Call(open).head.status == 200);
+    fixture->store.SetTrouble(StoreTrouble::kNone);
+    BOOST_TEST(fixture->RunUntil(
+        [&] { return fixture->Call(fixture->StreamRequest("back")).head.status == 200; }));
   }
 }
 
-// Settings that switch mechanisms off, and what the gateway makes of them.
-BOOST_AUTO_TEST_CASE(SettingsSwitchMechanismsOffAndSayWhatIsWrong) {
+// Settings that switch mechanisms off, with the settings and errors that they result in.
+BOOST_AUTO_TEST_CASE(SettingsSwitchMechanismsOffAndReportErrors) {
   struct Case {
     std::string lines;
     size_t errors;
@@ -318,31 +319,31 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhereTakingKeysAwayIsNotBoundedASilentStoreRefusesNobody) {
+BOOST_AUTO_TEST_CASE(WithUnboundedKeyTrustASilentStoreCausesNoRefusal) {
   GatewayFixtureOptions options;
   options.key_trust = milliseconds(600);
   options.key_trust_mode = KeyTrust::kUntilChanged;
-  auto world = StartedWorld(options);
-  BOOST_TEST(world->RunUntil(
-      [&] { return world->Call(world->StreamRequest("before")).head.status == 200; }));
-  world->store.SetTrouble(StoreTrouble::kSilent);
-  // Past the bound, where bounded keys would have been refused.
+  auto fixture = StartedFixture(options);
+  BOOST_TEST(fixture->RunUntil(
+      [&] { return fixture->Call(fixture->StreamRequest("before")).head.status == 200; }));
+  fixture->store.SetTrouble(StoreTrouble::kSilent);
+  // Wait until after the bound, when keys with a bounded trust would have been refused.
   Time silent_since = Now();
-  BOOST_TEST(world->RunUntil([&] { return Now() - silent_since > 2 * options.key_trust; }));
-  BOOST_TEST(world->Call(world->StreamRequest("during")).head.status == 200);
-  BOOST_TEST(world->gateway->IsReady());
+  BOOST_TEST(fixture->RunUntil([&] { return Now() - silent_since > 2 * options.key_trust; }));
+  BOOST_TEST(fixture->Call(fixture->StreamRequest("during")).head.status == 200);
+  BOOST_TEST(fixture->gateway->IsReady());
 }
 
-// Every call has its price, a refused one too.
-BOOST_AUTO_TEST_CASE(WhoWaitsForTheStoreTriesInTurnAndTheFirstAnswerFreesAll) {
+// Calls to the store cost something even if they fail, so waiters share a few tries.
+BOOST_AUTO_TEST_CASE(WaitersForTheStoreTryInTurnAndTheFirstAnswerReleasesAll) {
   EventLoop loop;
   StoreRecovery recovery(&loop);
   std::vector<int> tries(4, 0);
   bool answering = false;
-  int freed = 0;
+  int released = 0;
   std::function<void(size_t)> try_once = [&](size_t who) {
     if (answering) {
-      freed += 1;
+      released += 1;
       return;
     }
     tries[who] += 1;
@@ -356,26 +357,27 @@
     loop.Stop();
   });
   loop.Run();
-  // 0.1, 0.3, 0.7, 1.1, 1.5 and 1.9 s: six tries among four, in turn.
+  // Six tries at 0.1, 0.3, 0.7, 1.1, 1.5 and 1.9 s, by the four waiters in turn.
   int all = 0;
   for (int count : tries) {
     BOOST_TEST(count <= 2);
     all += count;
   }
   BOOST_TEST(all <= 6);
-  // A busy machine fires late, but they do try.
+  // On a busy machine timers fire late, so there may be fewer tries.
   BOOST_TEST(all >= 4);
-  BOOST_TEST(freed == 4);
+  BOOST_TEST(released == 4);
 }
 
-// Peers that have the news remind a gateway ten times a second that it is behind.
-struct RemindedFollower {
-  RemindedFollower()
+// A follower of a store topic that is asked ten times a second to read again, as if peers reported
+// a newer version.
+struct PolledFollower {
+  PolledFollower()
       : store(&loop),
         recovery(&loop),
         follower(&loop, store.address(), &recovery, {"keyed.op", seconds(10), Duration(0)},
                  {.replace = [this](const auto&) { this->loaded = true; },
-                  .change = [this](const auto&) { this->has_news = true; },
+                  .change = [this](const auto&) { this->has_change = true; },
                   .up_to_date = {},
                   .lost = {},
                   .regained = {},
@@ -389,10 +391,10 @@
     });
   }
 
-  // Runs until news has come, or for so long.
-  void RunFor(Duration most) {
-    Time until = Now() + most;
-    while (!this->has_news && Now() < until) this->loop.RunOnce(milliseconds(20));
+  // Runs until a change has been read, but not longer than `max_time`.
+  void RunFor(Duration max_time) {
+    Time until = Now() + max_time;
+    while (!this->has_change && Now() < until) this->loop.RunOnce(milliseconds(20));
   }
 
   EventLoop loop;
@@ -400,272 +402,278 @@
   StoreRecovery recovery;
   TopicFollower follower;
   bool loaded = false;
-  bool has_news = false;
+  bool has_change = false;
   int renewals = 0;
 };
 
-// A large configuration on a thin link takes longer than news should take to come.
-BOOST_AUTO_TEST_CASE(AReadThatIsComingInIsNotGivenUpHoweverOftenPeersRemind) {
-  RemindedFollower reminded;
-  reminded.store.SetTrouble(StoreTrouble::kSlowBody);
-  reminded.store.Put("keyed.op", "config", std::string(50'000, 'x'));
-  reminded.RunFor(kTestTimeout);
-  BOOST_TEST(reminded.has_news);
-}
-
-BOOST_AUTO_TEST_CASE(AReadThatHangsIsRenewedAtLongerAndLongerTimes) {
-  RemindedFollower reminded;
-  reminded.store.SetTrouble(StoreTrouble::kSilent);
-  reminded.store.Put("keyed.op", "config", "x");
-  reminded.RunFor(milliseconds(3500));
-  BOOST_TEST(!reminded.has_news);
-  // At about 0.4, 1.3 and 3.0 s.
-  BOOST_TEST(reminded.renewals >= 1);
-  BOOST_TEST(reminded.renewals <= 3);
-  reminded.store.SetTrouble(StoreTrouble::kNone);
-  reminded.RunFor(kTestTimeout);
-  BOOST_TEST(reminded.has_news);
-}
-
-BOOST_AUTO_TEST_CASE(AStoreThatDropsItsHistoryIsReadAnew) {
-  auto world = StartedWorld();
-  json config = world->DefaultConfig();
+// A large configuration on a slow link takes longer to read than a change should.
+BOOST_AUTO_TEST_CASE(AReadInProgressIsNotAbandonedWhenAskedToReadAgain) {
+  PolledFollower polled;
+  polled.store.SetTrouble(StoreTrouble::kSlowBody);
+  polled.store.Put("keyed.op", "config", std::string(50'000, 'x'));
+  polled.RunFor(kTestTimeout);
+  BOOST_TEST(polled.has_change);
+}
+
+BOOST_AUTO_TEST_CASE(AReadThatHangsIsRenewedAtGrowingIntervals) {
+  PolledFollower polled;
+  polled.store.SetTrouble(StoreTrouble::kSilent);
+  polled.store.Put("keyed.op", "config", "x");
+  polled.RunFor(milliseconds(3500));
+  BOOST_TEST(!polled.has_change);
+  // Renewals are due at about 0.4, 1.3 and 3.0 s.
+  BOOST_TEST(polled.renewals >= 1);
+  BOOST_TEST(polled.renewals <= 3);
+  polled.store.SetTrouble(StoreTrouble::kNone);
+  polled.RunFor(kTestTimeout);
+  BOOST_TEST(polled.has_change);
+}
+
+BOOST_AUTO_TEST_CASE(AStoreThatDropsItsHistoryIsReadFromTheStart) {
+  auto fixture = StartedFixture();
+  json config = fixture->DefaultConfig();
   config["version"] = 9;
   config["tenants"][0]["apiKeys"] = {"new-key"};
-  world->store.SetTrouble(StoreTrouble::kReset);
-  world->Publish(config);
-  world->store.Compact("keyed.op");
-  world->store.Compact("keyed.servers");
-  world->store.SetTrouble(StoreTrouble::kNone);
-  BOOST_TEST(
-      world->RunUntil([&] { return world->Call(world->SafeRequest("c")).head.status == 401; }));
-}
-
-// The store answers for the configuration and for our own topics, and turns away every
-// read of the engines' list: a part of it is down when the gateway starts.
-BOOST_AUTO_TEST_CASE(AGatewayThatStartsWhileTheEnginesListIsAwayServesByTheCopy) {
-  auto world = StartedWorld();
+  fixture->store.SetTrouble(StoreTrouble::kReset);
+  fixture->Publish(config);
+  fixture->store.Compact("keyed.op");
+  fixture->store.Compact("keyed.servers");
+  fixture->store.SetTrouble(StoreTrouble::kNone);
+  BOOST_TEST(fixture->RunUntil(
+      [&] { return fixture->Call(fixture->SafeRequest("c")).head.status == 401; }));
+}
+
+// A part of the store is down when the gateway starts: the store answers for the configuration and
+// the gateways' own topics, and rejects every read of the engine list.
+BOOST_AUTO_TEST_CASE(AGatewayThatStartsWithoutTheEngineListUsesTheCopy) {
+  auto fixture = StartedFixture();
   const std::string topic(platform::kEnginesCopyTopic);
   BOOST_TEST_REQUIRE(
-      world->RunUntil([&] { return !world->store.Newest(topic, "part-0").empty(); }));
-  world->store.TurnAwayTopic(std::string(platform::kEnginesTopic));
-  // A gateway's timers run as long as the loop does, so the first is kept.
-  std::unique_ptr<GatewayServer> first = std::move(world->gateway);
-  world->StartGateway();
-  BOOST_TEST(world->Call(world->StreamRequest("by-the-copy")).body == kWholeStream);
-  // The list replaces the copy as soon as it can be read.
-  world->ListEngine(*world->apps[0], "app", /*draining=*/true);
-  world->ListEngine(*world->apps[1], "app", /*draining=*/true);
-  world->store.TurnAwayTopic("");
-  BOOST_TEST(world->RunUntil(
-      [&] { return world->Call(world->SafeRequest("by-the-list")).head.status == 503; }));
-}
-
-BOOST_AUTO_TEST_CASE(AListOfManyPagesIsReadWhole) {
-  GatewayFixture world({.engines = 7, .apps = 1});
-  world.store.SetPageSize(2);
-  world.Publish(world.DefaultConfig());
-  world.StartGateway();
-  BOOST_TEST(world.Call(world.SafeRequest("pages")).head.status == 200);
-}
-
-BOOST_AUTO_TEST_CASE(AnEngineThatLeavesGetsNothingNew) {
-  auto world = StartedWorld({.engines = 1, .apps = 2});
-  world->ListEngine(*world->apps[0], "app", /*draining=*/true);
+      fixture->RunUntil([&] { return !fixture->store.Newest(topic, "part-0").empty(); }));
+  fixture->store.TurnAwayTopic(std::string(platform::kEnginesTopic));
+  // A gateway's timers run as long as the loop does, so the first gateway must not be destroyed.
+  std::unique_ptr<GatewayServer> first = std::move(fixture->gateway);
+  fixture->StartGateway();
+  BOOST_TEST(fixture->Call(fixture->StreamRequest("by-the-copy")).body == kWholeStream);
+  // The list replaces the copy as soon as the list can be read.
+  fixture->ListEngine(*fixture->apps[0], "app", /*draining=*/true);
+  fixture->ListEngine(*fixture->apps[1], "app", /*draining=*/true);
+  fixture->store.TurnAwayTopic("");
+  BOOST_TEST(fixture->RunUntil(
+      [&] { return fixture->Call(fixture->SafeRequest("by-the-list")).head.status == 503; }));
+}
+
+BOOST_AUTO_TEST_CASE(AListOfSeveralPagesIsReadWhole) {
+  GatewayFixture fixture({.engines = 7, .apps = 1});
+  fixture.store.SetPageSize(2);
+  fixture.Publish(fixture.DefaultConfig());
+  fixture.StartGateway();
+  BOOST_TEST(fixture.Call(fixture.SafeRequest("pages")).head.status == 200);
+}
+
+BOOST_AUTO_TEST_CASE(ADrainingEngineGetsNoNewRequests) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 2});
+  fixture->ListEngine(*fixture->apps[0], "app", /*draining=*/true);
   size_t settled = 0;
-  // Once the change is known, everything goes to the other one.
-  BOOST_TEST(world->RunUntil([&] {
-    size_t before = world->apps[1]->seen().size();
-    world->Call(world->SafeRequest("d"));
-    settled = world->apps[1]->seen().size() > before ? settled + 1 : 0;
+  // Once the change has been read, all requests go to the other engine.
+  BOOST_TEST(fixture->RunUntil([&] {
+    size_t before = fixture->apps[1]->seen().size();
+    fixture->Call(fixture->SafeRequest("d"));
+    settled = fixture->apps[1]->seen().size() > before ? settled + 1 : 0;
     return settled >= 20;
   }));
 }
 
-BOOST_AUTO_TEST_CASE(AnotherEngineAtTheAddressIsNotUsed) {
-  auto world = StartedWorld({.engines = 1, .apps = 1});
-  EngineStandin impostor(&world->loop, {.id = "impostor"});
-  json record = {{"service", "app"}, {"address", impostor.address().ToString()},
+BOOST_AUTO_TEST_CASE(AnotherEngineAtAListedAddressIsNotUsed) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 1});
+  EngineStandin other_engine(&fixture->loop, {.id = "impostor"});
+  json record = {{"service", "app"}, {"address", other_engine.address().ToString()},
                  {"zone", "hall-1"}, {"version", "v1"},
                  {"slots", 16},      {"state", "ready"},
                  {"coldLeftMs", 0},  {"callSeq", 0}};
-  world->store.Put("keyed.servers", "app-gone", record.dump());
+  fixture->store.Put("keyed.servers", "app-gone", record.dump());
   for (int i = 0; i < 20; ++i) {
-    Reply reply = world->Call(world->SafeRequest(absl::StrCat("i", i)));
+    Reply reply = fixture->Call(fixture->SafeRequest(absl::StrCat("i", i)));
     BOOST_TEST(reply.head.status == 200);
   }
-  BOOST_TEST(impostor.seen().empty());
+  BOOST_TEST(other_engine.seen().empty());
 }
 
-BOOST_AUTO_TEST_CASE(AStopFinishesWhatIsUnderWayAndThenTakesNothing) {
+BOOST_AUTO_TEST_CASE(AStopFinishesRequestsUnderWayAndThenTakesNoMore) {
   GatewayFixtureOptions options;
   options.engine.events = 100;
-  auto world = StartedWorld(options);
-  auto reply = world->Send(world->StreamRequest("stop"));
-  BOOST_TEST(world->RunUntil([&] { return !reply->body.empty(); }));
-  world->gateway->DrainAndStop();
-  BOOST_TEST(!world->gateway->IsReady());
-  BOOST_TEST(world->RunUntil([&] { return reply->done; }));
+  auto fixture = StartedFixture(options);
+  auto reply = fixture->Send(fixture->StreamRequest("stop"));
+  BOOST_TEST(fixture->RunUntil([&] { return !reply->body.empty(); }));
+  fixture->gateway->DrainAndStop();
+  BOOST_TEST(!fixture->gateway->IsReady());
+  BOOST_TEST(fixture->RunUntil([&] { return reply->done; }));
   BOOST_TEST(reply->whole());
   BOOST_TEST(absl::StrContains(reply->body, "event-100"));
-  // New callers are served until the balancer has noticed, and told to go.
-  Reply late = world->Call(world->SafeRequest("during"));
+  // New callers are served until the load balancer has noticed the stop, and their connections are
+  // closed after the answer.
+  Reply late = fixture->Call(fixture->SafeRequest("during"));
   BOOST_TEST(late.head.status == 200);
   BOOST_TEST(!late.head.keep_alive);
-  BOOST_TEST(world->RunUntil(
-      [&] { return world->Send(world->SafeRequest("after"))->done || world->loop.stopped(); }));
+  BOOST_TEST(fixture->RunUntil([&] {
+    return fixture->Send(fixture->SafeRequest("after"))->done || fixture->loop.stopped();
+  }));
 }
 
-// Seen on the bench (LOST): a kept connection brought a request seconds after the
-// stop, and the exit cut its answer.
-BOOST_AUTO_TEST_CASE(AnIdleConnectionIsClosedOnceTheBalancerHasNoticedTheStop) {
+// A request that arrived on a kept connection seconds after the stop lost its answer when the
+// process exited.
+BOOST_AUTO_TEST_CASE(AnIdleConnectionIsClosedOnceTheLoadBalancerHasNoticedTheStop) {
   GatewayFixtureOptions options;
   options.engine.events = 1'000'000;
-  auto world = StartedWorld(options);
-  // Keeps the stop from ending early.
-  auto busy = world->Send(world->StreamRequest("busy"));
-  auto channel = RequestChannel::Open(&world->loop, {"127.0.0.1", world->gateway->callers_port()});
+  auto fixture = StartedFixture(options);
+  // A request under way, so that the process does not exit early.
+  auto busy = fixture->Send(fixture->StreamRequest("busy"));
+  auto channel =
+      RequestChannel::Open(&fixture->loop, {"127.0.0.1", fixture->gateway->callers_port()});
   bool answered = false;
   bool closed = false;
   channel->OnIdleEnd([&] { closed = true; });
   RequestChannel::Hooks hooks;
   hooks.done = [&](ChannelResult) { answered = true; };
-  channel->Send(world->SafeRequest("kept"), std::move(hooks), false);
-  BOOST_TEST(world->RunUntil([&] { return answered; }));
-  world->gateway->DrainAndStop();
-  BOOST_TEST(world->RunUntil([&] { return closed || world->loop.stopped(); }));
-  BOOST_TEST(!world->loop.stopped());
+  channel->Send(fixture->SafeRequest("kept"), std::move(hooks), false);
+  BOOST_TEST(fixture->RunUntil([&] { return answered; }));
+  fixture->gateway->DrainAndStop();
+  BOOST_TEST(fixture->RunUntil([&] { return closed || fixture->loop.stopped(); }));
+  BOOST_TEST(!fixture->loop.stopped());
   BOOST_TEST(!busy->done);
 }
 
-// A restart costs the others nothing: the entry that is there stays.
-BOOST_AUTO_TEST_CASE(AGatewayThatStartsAgainWritesItsEntryOnlyIfItHasMoved) {
+// A restart at the same address causes no write to the store and no work for the other gateways.
+BOOST_AUTO_TEST_CASE(ARestartedGatewayWritesItsEntryOnlyIfItsAddressHasChanged) {
   const std::string topic(platform::kPeersTopic);
-  GatewayFixture world({});
-  world.Publish(world.DefaultConfig());
-  world.peers_address = {"127.0.0.1", 0};
-  world.StartGateway();
-  BOOST_TEST(world.RunUntil([&] { return !world.store.Newest(topic, "box-1").empty(); }));
-  std::optional<Peer> entry = DecodeGatewayEntry("box-1", world.store.Newest(topic, "box-1"));
+  GatewayFixture fixture({});
+  fixture.Publish(fixture.DefaultConfig());
+  fixture.peers_address = {"127.0.0.1", 0};
+  fixture.StartGateway();
+  BOOST_TEST(fixture.RunUntil([&] { return !fixture.store.Newest(topic, "box-1").empty(); }));
+  std::optional<Peer> entry = DecodeGatewayEntry("box-1", fixture.store.Newest(topic, "box-1"));
   BOOST_REQUIRE(entry.has_value());
   BOOST_TEST(entry->data_centre == "hall-1");
-  world.gateway.reset();
-  world.peers_address = entry->address;
-  uint64_t written = world.store.appended(topic);
-  world.StartGateway();
-  // It has read the topic by the time that it knows a peer of it.
+  fixture.gateway.reset();
+  fixture.peers_address = entry->address;
+  uint64_t written = fixture.store.appended(topic);
+  fixture.StartGateway();
+  // When the gateway has the new peer, it has read the topic up to that entry.
   Peer other{"box-2", {"127.0.0.1", 9}, "hall-1"};
-  world.store.Put(topic, "box-2", EncodeGatewayEntry(other));
-  BOOST_TEST(world.RunUntil([&] { return world.gateway->peers() == 1; }));
-  BOOST_TEST(world.store.appended(topic) == written + 1);
-  world.gateway.reset();
-  world.peers_address = {"127.0.0.1", 0};
-  world.StartGateway();
-  BOOST_TEST(world.RunUntil([&] { return world.store.appended(topic) == written + 2; }));
-}
-
-BOOST_AUTO_TEST_CASE(APromptOverOneEnginesMemoryIsSpreadAndItsMemoryGivenBack) {
-  auto world = StartedWorld({.engines = 4});
-  std::string request = world->StreamRequest("vast");
+  fixture.store.Put(topic, "box-2", EncodeGatewayEntry(other));
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.gateway->peers() == 1; }));
+  BOOST_TEST(fixture.store.appended(topic) == written + 1);
+  fixture.gateway.reset();
+  fixture.peers_address = {"127.0.0.1", 0};
+  fixture.StartGateway();
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.store.appended(topic) == written + 2; }));
+}
+
+BOOST_AUTO_TEST_CASE(APromptLargerThanOneEnginesMemoryIsSpreadAndItsMemoryReleased) {
+  auto fixture = StartedFixture({.engines = 4});
+  std::string request = fixture->StreamRequest("vast");
   request.replace(request.find("1000,80"), 7, "700000,800");
-  Reply reply = world->Call(request);
+  Reply reply = fixture->Call(request);
   BOOST_TEST(reply.head.status == 200);
   BOOST_TEST(reply.body == kWholeStream);
   bool helped = false;
-  for (auto& engine : world->engines) {
+  for (auto& engine : fixture->engines) {
     for (const auto& seen : engine->seen()) {
       helped = helped || FindHeader(seen.request.head.headers, "Helpers").has_value();
     }
   }
   BOOST_TEST(helped);
-  BOOST_TEST(world->RunUntil([&] {
-    for (auto& engine : world->engines) {
+  BOOST_TEST(fixture->RunUntil([&] {
+    for (auto& engine : fixture->engines) {
       if (!engine->tickets().empty()) return false;
     }
     return true;
   }));
 }
 
-// One engine cannot help any more though it is still listed: the others turn away what
-// names it.  The prompt is read without it, and those that answered get on with work.
-BOOST_AUTO_TEST_CASE(AReaderThatIsNamedAtFaultIsLeftOutAndTheOthersAreNotBlamed) {
-  auto world = StartedWorld({.engines = 6});
-  std::string request = world->StreamRequest("long");
+// One listed engine can no longer read parts of prompts, so the others refuse requests that name it
+// as a reader.  The prompt must be read without it, and only this engine may be set aside.
+BOOST_AUTO_TEST_CASE(OnlyTheReaderNamedAtFaultIsSetAside) {
+  auto fixture = StartedFixture({.engines = 6});
+  std::string request = fixture->StreamRequest("long");
   request.replace(request.find("1000,80"), 7, "200000,800");
-  BOOST_REQUIRE(world->Call(request).whole());
-  EngineStandin* gone = HelperOfFirstRequest(*world);
+  BOOST_REQUIRE(fixture->Call(request).whole());
+  EngineStandin* gone = ReaderOfFirstRequest(*fixture);
   BOOST_REQUIRE(gone != nullptr);
-  for (auto& engine : world->engines) engine->RefuseHelper(gone->address());
+  for (auto& engine : fixture->engines) engine->RefuseHelper(gone->address());
   // Nothing else has changed, so the same engines are chosen first.
-  Reply reply = world->Call(request);
+  Reply reply = fixture->Call(request);
   BOOST_TEST(reply.head.status == 200);
   BOOST_TEST(reply.body == kWholeStream);
-  std::set<std::string> set_aside = world->gateway->SetAside();
+  std::set<std::string> set_aside = fixture->gateway->SetAside();
   BOOST_TEST(set_aside.count(gone->id()) == 1u);
   BOOST_TEST(set_aside.size() == 1u);
 }
 
-// Such an engine is always idle, and would be the first choice for every request.
-BOOST_AUTO_TEST_CASE(AnEngineThatFailsEveryRequestAtOnceDrawsFew) {
-  auto world = StartedWorld();
-  world->Call(world->StreamRequest("first"));
+// An engine that fails at once is always idle, so by load alone it would be chosen first for every
+// request.
+BOOST_AUTO_TEST_CASE(AnEngineThatFailsEveryRequestAtOnceGetsFew) {
+  auto fixture = StartedFixture();
+  fixture->Call(fixture->StreamRequest("first"));
   EngineStandin* chosen = nullptr;
-  for (auto& engine : world->engines) {
+  for (auto& engine : fixture->engines) {
     if (!engine->seen().empty()) chosen = engine.get();
   }
   BOOST_REQUIRE(chosen != nullptr);
   size_t before = chosen->seen().size();
   chosen->FailAll(EngineFault::kFailed);
-  for (int i = 0; i < 20; ++i) world->Call(world->StreamRequest(absl::StrCat("s", i)));
+  for (int i = 0; i < 20; ++i) fixture->Call(fixture->StreamRequest(absl::StrCat("s", i)));
   BOOST_TEST(chosen->seen().size() - before <= 4u);
 }
 
-GatewaySettings SecondGateway(const GatewayFixture& world) {
+GatewaySettings SecondGateway(const GatewayFixture& fixture) {
   GatewaySettings settings;
   settings.box = "box-2";
   settings.data_centre = "hall-2";
   settings.callers = settings.ready = settings.metrics = settings.peers = {"127.0.0.1", 0};
-  settings.store = world.store.address();
+  settings.store = fixture.store.address();
   return settings;
 }
 
-// The store leaves the first gateway's waiting read unanswered; a second gateway, which
-// starts afterwards, reads the whole list and tells how far it has read.
-BOOST_AUTO_TEST_CASE(AReadThatTheStoreLeavesWaitingIsSentAgainOncePeersHaveReadFurther) {
-  auto world = StartedWorld({.engines = 1, .apps = 1});
-  BOOST_TEST_REQUIRE(world->Call(world->SafeRequest("before")).head.status == 200);
+// The store does not answer the read with which the first gateway waits for changes.  A second
+// gateway starts afterwards, reads the whole list, and reports how far it has read.
+BOOST_AUTO_TEST_CASE(AnUnansweredReadIsSentAgainOncePeersHaveReadFurther) {
+  auto fixture = StartedFixture({.engines = 1, .apps = 1});
+  BOOST_TEST_REQUIRE(fixture->Call(fixture->SafeRequest("before")).head.status == 200);
   const std::string topic(platform::kEnginesTopic);
-  BOOST_TEST_REQUIRE(world->RunUntil([&] { return world->store.IsAwaited(topic); }));
-  world->store.MissNextChange(topic);
-  world->ListEngine(*world->apps[0], "app", /*draining=*/true);
-  GatewayServer second(&world->loop, SecondGateway(*world), 2);
+  BOOST_TEST_REQUIRE(fixture->RunUntil([&] { return fixture->store.IsAwaited(topic); }));
+  fixture->store.MissNextChange(topic);
+  fixture->ListEngine(*fixture->apps[0], "app", /*draining=*/true);
+  GatewayServer second(&fixture->loop, SecondGateway(*fixture), 2);
   BOOST_TEST(second.Start().ok());
-  BOOST_TEST(
-      world->RunUntil([&] { return world->Call(world->SafeRequest("after")).head.status == 503; }));
-  // It was sent again before its own five seconds were over.
-  BOOST_TEST(world->RunUntil([&] { return world->store.reads_given_up() == 1; }));
+  BOOST_TEST(fixture->RunUntil(
+      [&] { return fixture->Call(fixture->SafeRequest("after")).head.status == 503; }));
+  // The read was sent again before its timeout of five seconds.
+  BOOST_TEST(fixture->RunUntil([&] { return fixture->store.reads_given_up() == 1; }));
 }
 
-BOOST_AUTO_TEST_CASE(TwoGatewaysHearOfEachOther) {
-  auto world = StartedWorld();
-  GatewayServer second(&world->loop, SecondGateway(*world), 2);
+BOOST_AUTO_TEST_CASE(TwoGatewaysBecomePeers) {
+  auto fixture = StartedFixture();
+  GatewayServer second(&fixture->loop, SecondGateway(*fixture), 2);
   BOOST_TEST(second.Start().ok());
-  BOOST_TEST(world->RunUntil([&] { return second.peers() == 1 && world->gateway->peers() == 1; }));
+  BOOST_TEST(
+      fixture->RunUntil([&] { return second.peers() == 1 && fixture->gateway->peers() == 1; }));
 }
 
 BOOST_AUTO_TEST_CASE(OperatorsGetMetricsAndState) {
-  auto world = StartedWorld();
-  world->Call(world->StreamRequest("m1"));
-  world->Call(world->SafeRequest("m2"));
+  auto fixture = StartedFixture();
+  fixture->Call(fixture->StreamRequest("m1"));
+  fixture->Call(fixture->SafeRequest("m2"));
   auto fetch = [&](const std::string& path) {
-    auto channel = RequestChannel::Open(&world->loop, {"127.0.0.1", world->gateway->ready_port()});
+    auto channel =
+        RequestChannel::Open(&fixture->loop, {"127.0.0.1", fixture->gateway->ready_port()});
     Reply reply;
     RequestChannel::Hooks hooks;
     hooks.head = [&](const ResponseHead& head) { reply.head = head; };
     hooks.body = [&](std::string_view bytes) { reply.body.append(bytes); };
     hooks.done = [&](ChannelResult) { reply.done = true; };
     channel->Send("GET " + path + " HTTP/1.1\r\n\r\n", std::move(hooks), false);
-    BOOST_TEST(world->RunUntil([&] { return reply.done; }));
+    BOOST_TEST(fixture->RunUntil([&] { return reply.done; }));
     return reply;
   };
   std::string metrics = fetch("/metrics").body;
