--- a/src/gateway/testing/retry_budget_test.cc
+++ b/src/gateway/testing/retry_budget_test.cc
@@ -1,28 +1,23 @@
-// Second attempts stay within the bound that all gateways share, whatever becomes of them.
+// Second attempts stay within the bound that all gateways share, also when gateways restart or
+// are suspended.
 //
-// What was seen: more second attempts in ten seconds than the ratio and the slack allow (219
-// where 205 were allowed) on a day on which engines failed and all five gateways were killed
-// and started again.
+// The bound: in any window, second attempts are at most a ratio of the requests plus a slack.  Each
+// gateway may use the ratio of its own requests and an equal part of the slack.
 //
-// How it came about: each gateway may spend the ratio of its own requests and an equal part
-// of the slack.  It had spent its part, died, and its successor had a whole part again.
+// Failures guarded against:
 //
-// The cause: what a process does not know of (its predecessor's spending) counted as not
-// spent.
-//
-// What proved it: the kill lies in the middle of the window that was over the bound, and the
-// simulation below exceeds the bound with kills and never without.
-//
-// A search with other troubles beside failing engines found a second way: gateways that
-// stood still for four seconds (438 where 419 were allowed).  Their callers left meanwhile;
-// on waking, the gateways read requests with the callers' closes behind them, counted them
-// as requests of that moment, which allows second attempts, and sent them to engines.
-// What proved it: with such requests not sent but still counted the bound was broken on
-// 2 of 2 days (438 of 417, 438 of 427), not counted either on 0 of 4.
-//
-// A wider search still broke it on 2 of 132 days (386 of 376, 377 of 371), in the window that
-// begins as gateways go on after standing still: requests whose callers still wait count as
-// of the moment at which they are read, though they were sent up to seconds before.
+//   - A gateway used up its part, was killed, and its successor had a whole part again.  On a day
+//     with failing engines on which all five gateways were killed and restarted, there were 219
+//     second attempts in ten seconds where 205 were allowed.  The window over the bound included
+//     the restart, and the simulation below exceeded the bound with restarts and never without.
+//   - Gateways were suspended for four seconds (438 where 419 were allowed).  Their callers
+//     disconnected meanwhile.  On resuming, the gateways read these requests, counted them as new,
+//     which allows second attempts, and sent them to engines.  If the requests were not sent but
+//     still counted, the bound was exceeded on 2 of 2 days (438 of 417, 438 of 427); if they were
+//     not counted either, on 0 of 4.
+//   - The bound was still exceeded on 2 of 132 days (386 of 376, 377 of 371), in the window that
+//     begins when gateways resume.  Requests whose callers still waited counted as of the moment
+//     at which they were read, though they had been sent up to seconds before.
 
 #define BOOST_TEST_MODULE retry_budget
 #include <algorithm>
@@ -46,12 +41,12 @@
 constexpr char kService[] = "models";
 const Time kStart = Time{} + seconds(1000);
 
-// Five gateways under a load of which everything fails, so that each spends all it may.
+// Five gateways whose requests all fail, so that each gateway uses up its second attempts.
 class FailingFleet {
  public:
   FailingFleet(const RetryBounds& retry_bounds, uint64_t seed)
       : bounds(retry_bounds), random(seed), now(kStart) {
-    // Long enough up to have their whole share.
+    // The gateways have run long enough to have their whole share of the slack.
     for (int i = 0; i < kGateways; ++i) this->gateways.push_back(this->NewGateway(Time{}));
   }
 
@@ -68,7 +63,7 @@
     }
   }
 
-  // Kills some gateways, one at least; each starts again at once and knows nothing.
+  // Kills one or more gateways.  Each restarts at once, without its former state.
   void KillSome() {
     size_t killed = 1 + this->random() % kGateways;
     for (size_t i = 0; i < killed; ++i) this->gateways[i] = this->NewGateway(this->now);
@@ -78,8 +73,8 @@
     for (Fleet& gateway : this->gateways) gateway = this->NewGateway(this->now);
   }
 
-  // Requests only: nothing fails.
-  void RunWell(Duration duration) {
+  // Runs with requests that do not fail.
+  void RunWithoutFailures(Duration duration) {
     for (Time end = this->now + duration; this->now < end;) {
       this->now += milliseconds(this->random() % 40);
       this->gateways[this->random() % kGateways].RetriesOf(kService).AddRequest(this->now);
@@ -87,8 +82,8 @@
     }
   }
 
-  // The slow obvious count: in every window, as many as the bound allows.
-  bool KeptTheBound() const {
+  // Checks the bound by a direct count in every window that begins with a second attempt.
+  bool KeepsBound() const {
     return std::all_of(this->retries.begin(), this->retries.end(), [this](Time begin) {
       double in_window = Count(this->retries, begin, begin + this->bounds.window);
       return in_window <= this->Allowed(begin);
@@ -109,8 +104,9 @@
                                              [&](Time at) { return at >= begin && at < end; }));
   }
 
-  // Requests are those of the window, of the one before, or of half a window before,
-  // whichever has most.
+  // Returns the number of second attempts that the bound allows in the window from `begin` on.  The
+  // requests are counted in this window, in the one before it, and in the one that begins half a
+  // window earlier; the largest count applies.
   double Allowed(Time begin) const {
     double most = 0;
     for (Duration earlier : {Duration(0), this->bounds.window / 2, this->bounds.window}) {
@@ -128,7 +124,7 @@
   std::vector<Time> retries;
 };
 
-BOOST_AUTO_TEST_CASE(GatewaysThatStartAgainDoNotSpendTheSlackTwice) {
+BOOST_AUTO_TEST_CASE(RestartedGatewaysDoNotUseTheSlackTwice) {
   const RetryBounds bounds{seconds(10), 0.2, 104};
   for (int kills : {0, 1, 2, 5}) {
     for (uint64_t seed = 1; seed <= 10; ++seed) {
@@ -139,30 +135,31 @@
         fleet.RunFor(seconds(2));
       }
       fleet.RunFor(seconds(15));
-      BOOST_TEST_CONTEXT(kills << " kills, seed " << seed) { BOOST_TEST(fleet.KeptTheBound()); }
+      BOOST_TEST_CONTEXT(kills << " kills, seed " << seed) { BOOST_TEST(fleet.KeepsBound()); }
     }
   }
 }
 
-// Each gateway has saved up second attempts while nothing failed; then everything fails,
-// all of them die once they have spent that, and their successors know nothing of it.
-BOOST_AUTO_TEST_CASE(WhatWasSavedAndSpentBeforeARestartIsNotSpentAgain) {
+// Each gateway saves up second attempts while no request fails.  Then all requests fail, and all
+// gateways are killed after they have used up their second attempts.  Their successors do not
+// have a record of this use.
+BOOST_AUTO_TEST_CASE(SavedAttemptsUsedBeforeARestartAreNotUsedAgain) {
   const RetryBounds bounds{seconds(10), 0.2, 106};
   for (int failing_ms : {500, 1000, 2000, 4000}) {
     for (uint64_t seed = 1; seed <= 10; ++seed) {
       FailingFleet fleet(bounds, seed);
-      fleet.RunWell(seconds(15));
+      fleet.RunWithoutFailures(seconds(15));
       fleet.RunFor(milliseconds(failing_ms));
       fleet.KillAll();
       fleet.RunFor(seconds(15));
-      BOOST_TEST_CONTEXT(failing_ms << " ms, seed " << seed) { BOOST_TEST(fleet.KeptTheBound()); }
+      BOOST_TEST_CONTEXT(failing_ms << " ms, seed " << seed) { BOOST_TEST(fleet.KeepsBound()); }
     }
   }
 }
 
-// A gateway that has started is not left without second attempts: it has the ratio of its own
-// requests from the first moment, and its share of the slack evenly over the first window.
-BOOST_AUTO_TEST_CASE(AGatewayThatStartsHasTheRatioAtOnceAndItsShareOverAWindow) {
+// A gateway has second attempts from its start on: the ratio of its own requests at once, and its
+// share of the slack evenly over the first window.
+BOOST_AUTO_TEST_CASE(AStartedGatewayHasTheRatioAtOnceAndItsShareOverAWindow) {
   const RetryBounds bounds{seconds(10), 0.2, 104};
   constexpr size_t kGateways = 5;
   Fleet fleet(bounds, "box", "hall", Mechanisms{}, kStart);
@@ -181,24 +178,25 @@
   BOOST_TEST(taken >= std::floor(share / 2) - 1);
 }
 
-// Datagrams go to a bounded number of peers, but the slack is divided among all there are.
-BOOST_AUTO_TEST_CASE(EveryGatewayCountsHoweverManyAreTold) {
-  GatewayFixture world({});
+// Datagrams go to a bounded number of peers, but the slack is divided among all gateways.
+BOOST_AUTO_TEST_CASE(TheSlackIsDividedAmongAllGateways) {
+  GatewayFixture fixture({});
   constexpr size_t kPeers = 60;
   for (size_t i = 0; i < kPeers; ++i) {
-    world.store.Put(std::string(platform::kPeersTopic), absl::StrCat("peer-", i),
-                    EncodeGatewayEntry({absl::StrCat("peer-", i), {"127.0.0.1", 9}, "hall-1"}));
+    fixture.store.Put(std::string(platform::kPeersTopic), absl::StrCat("peer-", i),
+                      EncodeGatewayEntry({absl::StrCat("peer-", i), {"127.0.0.1", 9}, "hall-1"}));
   }
-  world.Publish(world.DefaultConfig());
-  world.StartGateway();
-  BOOST_TEST(world.RunUntil([&] { return world.gateway->peers() > 0; }));
-  BOOST_TEST(world.gateway->peers() == kPeers);
+  fixture.Publish(fixture.DefaultConfig());
+  fixture.StartGateway();
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.gateway->peers() > 0; }));
+  BOOST_TEST(fixture.gateway->peers() == kPeers);
 }
 
-// Requests that reached an engine, second attempts included.
-size_t ArrivalsOf(const GatewayFixture& world, const std::string& id) {
+// Returns the number of requests with this attempt id that reached an engine, including second
+// attempts.
+size_t ArrivalsOf(const GatewayFixture& fixture, const std::string& id) {
   size_t count = 0;
-  for (const auto* list : {&world.engines, &world.apps}) {
+  for (const auto* list : {&fixture.engines, &fixture.apps}) {
     for (const auto& engine : *list) {
       for (const EngineStandin::Seen& seen : engine->seen()) {
         count += FindHeader(seen.request.head.headers, platform::kAttemptId) == id ? 1 : 0;
@@ -208,69 +206,69 @@
   return count;
 }
 
-// A process that stands still (the loop does not run) reads what was sent meanwhile in one
-// go.  What was sent a window ago or more allows no second attempt now.
-BOOST_AUTO_TEST_CASE(ARequestCountsFromWhenItMayHaveBeenSent) {
+// A suspended process (the loop does not run) reads all requests that were sent meanwhile when it
+// resumes.  Requests that may have been sent a window ago or earlier allow no second attempts.
+BOOST_AUTO_TEST_CASE(ARequestCountsFromTheEarliestTimeOfSending) {
   constexpr size_t kRequests = 10;
   struct Row {
     Duration window;
     Duration pause;
   };
-  // Where nothing stands still, the window is longer than a loaded machine takes to send ten
-  // requests: with one second it stood still for the whole of it now and then.
+  // In the row without a pause, the window is longer than a loaded machine takes to send ten
+  // requests.  With a window of one second, the process was sometimes suspended for all of it.
   const Row table[] = {{kTestTimeout, Duration(0)}, {seconds(1), milliseconds(1500)}};
   for (const auto& [window, pause] : table) {
     GatewayFixtureOptions options;
     options.retry = {.window = window, .ratio = 1, .slack = 0};
-    GatewayFixture world(options);
-    for (const auto& app : world.apps) app->FailAll(EngineFault::kFailed);
-    world.Publish(world.DefaultConfig());
-    world.StartGateway();
-    // Nothing waits to be read when the process stands still.
+    GatewayFixture fixture(options);
+    for (const auto& app : fixture.apps) app->FailAll(EngineFault::kFailed);
+    fixture.Publish(fixture.DefaultConfig());
+    fixture.StartGateway();
+    // When the process is suspended below, no earlier input waits to be read.
     Time ready_at = Now();
-    BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.loop.caught_up_at() > ready_at; }));
-    const std::string gateway = absl::StrCat("127.0.0.1:", world.gateway->callers_port());
+    BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.loop.caught_up_at() > ready_at; }));
+    const std::string gateway = absl::StrCat("127.0.0.1:", fixture.gateway->callers_port());
     std::vector<std::unique_ptr<RawConnection>> callers;
     for (size_t i = 0; i < kRequests; ++i) {
       callers.push_back(std::make_unique<RawConnection>(gateway));
-      BOOST_TEST_REQUIRE(callers.back()->Send(world.SafeRequest("sent")));
+      BOOST_TEST_REQUIRE(callers.back()->Send(fixture.SafeRequest("sent")));
     }
     std::this_thread::sleep_for(pause);
-    BOOST_TEST(world.RunUntil([&] { return ArrivalsOf(world, "sent") >= kRequests; }));
-    // Time for the second attempts, which would follow at once.
-    for (int i = 0; i < 8; ++i) world.Call(world.SafeRequest("after"));
-    bool stood_still = pause > window;
-    BOOST_TEST(ArrivalsOf(world, "sent") == (stood_still ? kRequests : 2 * kRequests));
+    BOOST_TEST(fixture.RunUntil([&] { return ArrivalsOf(fixture, "sent") >= kRequests; }));
+    // These calls give the second attempts, which would follow at once, time to arrive.
+    for (int i = 0; i < 8; ++i) fixture.Call(fixture.SafeRequest("after"));
+    bool was_suspended = pause > window;
+    BOOST_TEST(ArrivalsOf(fixture, "sent") == (was_suspended ? kRequests : 2 * kRequests));
   }
 }
 
-// The loop does not run between a caller's request and its close, as in a process that
-// stands still: both lie in the buffers when it goes on.
-BOOST_AUTO_TEST_CASE(ARequestWhoseCallerHasLeftReachesNoEngine) {
-  GatewayFixture world({});
-  world.Publish(world.DefaultConfig());
-  world.StartGateway();
-  // Connections to engines are kept from here on, so a request could go out at once.
+// The loop does not run between a caller's request and its close, as in a suspended process, so
+// that both are in the buffers when the loop runs again.
+BOOST_AUTO_TEST_CASE(ARequestOfADisconnectedCallerReachesNoEngine) {
+  GatewayFixture fixture({});
+  fixture.Publish(fixture.DefaultConfig());
+  fixture.StartGateway();
+  // These requests leave idle connections to the engines, so a request could be sent at once.
   std::vector<std::shared_ptr<Reply>> warm;
   for (int i = 0; i < 8; ++i) {
-    warm.push_back(world.Send(world.SafeRequest("warm")));
-    warm.push_back(world.Send(world.StreamRequest("warm")));
+    warm.push_back(fixture.Send(fixture.SafeRequest("warm")));
+    warm.push_back(fixture.Send(fixture.StreamRequest("warm")));
   }
-  BOOST_TEST_REQUIRE(world.RunUntil([&] {
+  BOOST_TEST_REQUIRE(fixture.RunUntil([&] {
     return std::all_of(warm.begin(), warm.end(), [](const auto& reply) { return reply->done; });
   }));
-  const std::string gateway = absl::StrCat("127.0.0.1:", world.gateway->callers_port());
-  const std::string requests[] = {world.SafeRequest("left"), world.OnceRequest("left"),
-                                  world.StreamRequest("left")};
+  const std::string gateway = absl::StrCat("127.0.0.1:", fixture.gateway->callers_port());
+  const std::string requests[] = {fixture.SafeRequest("left"), fixture.OnceRequest("left"),
+                                  fixture.StreamRequest("left")};
   for (const std::string& request : requests) {
     for (int i = 0; i < 5; ++i) {
       RawConnection caller(gateway);
       BOOST_TEST_REQUIRE(caller.Send(request));
     }
-    for (int i = 0; i < 4; ++i) world.Call(world.SafeRequest("stays"));
+    for (int i = 0; i < 4; ++i) fixture.Call(fixture.SafeRequest("stays"));
   }
-  BOOST_TEST(ArrivalsOf(world, "left") == 0);
-  BOOST_TEST(ArrivalsOf(world, "stays") == 12);
+  BOOST_TEST(ArrivalsOf(fixture, "left") == 0);
+  BOOST_TEST(ArrivalsOf(fixture, "stays") == 12);
 }
 
 }  // namespace
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -1,4 +1,4 @@
-// ticket_set.h tells the method.
+// Orders are HTTP requests to an engine (platform/engine_calls.h) on pooled connections.
 
 #include "gateway/ticket_set.h"
 
@@ -10,11 +10,12 @@
 namespace gullward {
 namespace {
 
-// One order under way; its answer, its failure and its time-out race.
+// An order under way.  Its answer, the failure of its connection, and its timeout may each end
+// it; the first of these does.
 struct PendingOrder {
   std::shared_ptr<RequestChannel> channel;
   int status = 0;
-  // Empty once it has been called.
+  // Empty after it has been called.
   std::function<void(bool)> done;
 
   void Finish(bool carried_out) {
@@ -24,25 +25,26 @@
 
 }  // namespace
 
-TicketSet::TicketSet(GatewayState* gateway_state, std::vector<TicketWish> ticket_wishes)
-    : state(gateway_state), wishes(std::move(ticket_wishes)) {}
+TicketSet::TicketSet(GatewayState* gateway_state, std::vector<TicketRequest> ticket_requests)
+    : state(gateway_state), requests(std::move(ticket_requests)) {}
 
-void TicketSet::Order(const TicketWish& wish, const std::string& text,
+void TicketSet::Order(const TicketRequest& request, const std::string& text,
                       std::function<void(bool)> done) {
   auto order = std::make_shared<PendingOrder>();
-  order->channel = this->state->pool.Take(wish.engine, Now(), /*fresh=*/false);
+  order->channel = this->state->pool.Take(request.engine, Now(), /*fresh=*/false);
   this->state->counters.orders += 1;
   order->done = std::move(done);
-  // The time-out alone owns the order: a channel that owned it through its hooks
-  // would be owned by itself.
+  // Only the timeout holds a strong reference to the order.  The order owns the channel, so a
+  // strong reference in the channel's hooks would be a cycle.
   std::weak_ptr<PendingOrder> weak = order;
   RequestChannel::Hooks hooks;
-  hooks.head = [self = this->shared_from_this(), weak, engine = wish.engine,
+  hooks.head = [self = this->shared_from_this(), weak, engine = request.engine,
                 sent = Now()](const ResponseHead& head) {
     ReceiveNotice(self->state, engine, head, sent);
     if (auto pending = weak.lock()) pending->status = head.status;
   };
-  hooks.done = [self = this->shared_from_this(), weak, engine = wish.engine](ChannelResult result) {
+  hooks.done = [self = this->shared_from_this(), weak,
+                engine = request.engine](ChannelResult result) {
     auto pending = weak.lock();
     if (!pending) return;
     bool whole = result == ChannelResult::kWholeAnswer;
@@ -50,7 +52,7 @@
     pending->Finish(whole && pending->status == platform::kOrderDone);
   };
   order->channel->Send(text, std::move(hooks), /*is_head=*/false);
-  this->state->loop->RunAfter(kOrderPatience, [order] {
+  this->state->loop->RunAfter(kOrderTimeout, [order] {
     if (!order->done) return;
     order->channel->Close();
     order->Finish(false);
@@ -59,18 +61,20 @@
 
 void TicketSet::Acquire(Acquired acquired) {
   this->on_acquired = std::move(acquired);
-  this->prolonged.assign(this->wishes.size(), Now());
-  this->next_order = this->prolonged;
-  for (const TicketWish& wish : this->wishes) {
-    std::string text = platform::ReserveMemoryText(wish.engine, wish.ticket, wish.tokens, kHold);
-    this->Order(wish, text,
-                [self = this->shared_from_this(), engine = wish.engine.Incarnation()](bool given) {
-                  if (!given) {
-                    self->Finish(false, engine);
-                  } else if (++self->granted == self->wishes.size()) {
-                    self->Finish(true, "");
-                  }
-                });
+  this->renewed_at.assign(this->requests.size(), Now());
+  this->next_order = this->renewed_at;
+  for (const TicketRequest& request : this->requests) {
+    std::string text = platform::ReserveMemoryText(request.engine, request.ticket, request.tokens,
+                                                   kTicketLifetime);
+    this->Order(
+        request, text,
+        [self = this->shared_from_this(), engine = request.engine.Incarnation()](bool was_granted) {
+          if (!was_granted) {
+            self->Finish(false, engine);
+          } else if (++self->granted == self->requests.size()) {
+            self->Finish(true, "");
+          }
+        });
   }
 }
 
@@ -82,51 +86,54 @@
 
 void TicketSet::Tick(Time now) {
   if (this->released) return;
-  for (size_t i = 0; i < this->wishes.size(); ++i) {
-    if (this->IsDue(i, now) && !this->HasRestarted(this->wishes[i])) this->Prolong(i, now);
+  for (size_t i = 0; i < this->requests.size(); ++i) {
+    if (this->IsDue(i, now) && !this->HasRestarted(this->requests[i])) this->Renew(i, now);
   }
 }
 
 bool TicketSet::IsDue(size_t ticket, Time now) const {
-  const std::string engine = this->wishes[ticket].engine.Incarnation();
-  bool rests = this->state->fleet.notices().RestLeft(engine, now) > Duration::zero();
-  Duration age = now - this->prolonged[ticket];
-  return now >= this->next_order[ticket] && age >= (rests ? kProlongAtLatest : kProlongEvery);
+  const std::string engine = this->requests[ticket].engine.Incarnation();
+  bool is_resting = this->state->fleet.notices().RestLeft(engine, now) > Duration::zero();
+  Duration age = now - this->renewed_at[ticket];
+  return now >= this->next_order[ticket] &&
+         age >= (is_resting ? kMaxRenewInterval : kRenewInterval);
 }
 
-void TicketSet::Prolong(size_t ticket, Time now) {
-  const TicketWish& wish = this->wishes[ticket];
-  std::string text = platform::ReserveMemoryText(wish.engine, wish.ticket, wish.tokens, kHold);
-  this->next_order[ticket] = now + kOrderPause;
-  this->Order(wish, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
-    if (carried_out) self->prolonged[ticket] = now;
+void TicketSet::Renew(size_t ticket, Time now) {
+  const TicketRequest& request = this->requests[ticket];
+  std::string text =
+      platform::ReserveMemoryText(request.engine, request.ticket, request.tokens, kTicketLifetime);
+  this->next_order[ticket] = now + kRetryInterval;
+  this->Order(request, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
+    if (carried_out) self->renewed_at[ticket] = now;
   });
 }
 
-// To prolong a ticket that the engine has forgotten would set memory aside anew, for a
-// part of a prompt that is lost.
-bool TicketSet::HasRestarted(const TicketWish& wish) const {
-  const EngineRecord* known = this->state->fleet.directory().Find(wish.engine.id);
-  return known != nullptr && known->born > wish.engine.born;
+// Whether the engine has started again since it granted the ticket.  Renewing the ticket would
+// then reserve memory anew for a part of a prompt that is lost.
+bool TicketSet::HasRestarted(const TicketRequest& request) const {
+  const EngineRecord* known = this->state->fleet.directory().Find(request.engine.id);
+  return known != nullptr && known->born > request.engine.born;
 }
 
 void TicketSet::Release() {
   if (std::exchange(this->released, true)) return;
   this->on_acquired = nullptr;
-  // Also those that were not given: the order may have been carried out unheard.
-  for (const TicketWish& wish : this->wishes) this->ReleaseOne(wish, kReleaseTries);
+  // This includes tickets that were not granted: an engine may have carried the order out though
+  // its answer was lost.
+  for (const TicketRequest& request : this->requests) this->ReleaseOne(request, kMaxReleaseTries);
 }
 
-void TicketSet::ReleaseOne(const TicketWish& wish, int tries_left) {
+void TicketSet::ReleaseOne(const TicketRequest& request, int tries_left) {
   if (tries_left == 0) {
     this->state->log->Write(LogLine("ticket_left_to_lapse")
-                                .Text("ticket", wish.ticket)
-                                .Text("engine", wish.engine.Incarnation()));
+                                .Text("ticket", request.ticket)
+                                .Text("engine", request.engine.Incarnation()));
     return;
   }
-  this->Order(wish, platform::ReleaseMemoryText(wish.engine, wish.ticket),
-              [self = this->shared_from_this(), wish, tries_left](bool carried_out) {
-                if (!carried_out) self->ReleaseOne(wish, tries_left - 1);
+  this->Order(request, platform::ReleaseMemoryText(request.engine, request.ticket),
+              [self = this->shared_from_this(), request, tries_left](bool carried_out) {
+                if (!carried_out) self->ReleaseOne(request, tries_left - 1);
               });
 }
 
