--- a/src/gateway/config_from_peers.cc
+++ b/src/gateway/config_from_peers.cc
@@ -21,7 +21,7 @@
 
 absl::Status ConfigFromPeers::Listen(const SocketAddress& address) {
   return this->listener.Listen(this->loop, address, [this](int fd) {
-    if (this->pages.connections() < kMostConnections) {
+    if (this->pages.connections() < kMaxConnections) {
       this->pages.Adopt(fd);
     } else {
       close(fd);
@@ -38,10 +38,10 @@
   return page;
 }
 
-bool ConfigFromPeers::Ask(const SocketAddress& peer) {
+bool ConfigFromPeers::Fetch(const SocketAddress& peer) {
   if (this->client.is_busy()) return false;
-  this->client.MoveTo(peer);
-  this->client.Call({"GET", kRecordPath, ""}, StoreClient::kAnswerPatience,
+  this->client.SetAddress(peer);
+  this->client.Call({"GET", kRecordPath, ""}, StoreClient::kAnswerTimeout,
                     [this](const StoreAnswer& answer) {
                       // Another peer is asked with its next note.
                       if (!answer.ok()) return;
--- a/src/gateway/config_from_peers.h
+++ b/src/gateway/config_from_peers.h
@@ -34,7 +34,7 @@
 
 class ConfigFromPeers {
  public:
-  static constexpr size_t kMostConnections = 16;
+  static constexpr size_t kMaxConnections = 16;
 
   struct Hooks {
     // The record as it was read; null where none was.
@@ -50,7 +50,7 @@
   uint16_t port() const { return this->listener.port(); }
 
   // Asks a peer, unless a question is under way.  Whether it did.
-  bool Ask(const SocketAddress& peer);
+  bool Fetch(const SocketAddress& peer);
 
   void Tick(Time now) { this->pages.Tick(now); }
 
--- a/src/gateway/config_prover.cc
+++ b/src/gateway/config_revalidator.cc
@@ -1,6 +1,6 @@
-// config_prover.h tells the method.
+// Implementation of config_revalidator.h.
 
-#include "gateway/config_prover.h"
+#include "gateway/config_revalidator.h"
 
 #include <utility>
 
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-ConfigProver::ConfigProver(EventLoop* event_loop, SocketAddress store,
-                           StoreRecovery* store_recovery, std::string config_topic,
-                           Duration key_trust, uint64_t seed, Hooks prover_hooks)
+ConfigRevalidator::ConfigRevalidator(EventLoop* event_loop, SocketAddress store,
+                                     StoreRecovery* store_recovery, std::string config_topic,
+                                     Duration key_trust, uint64_t seed, Hooks prover_hooks)
     : loop(event_loop),
       client(event_loop, std::move(store), &store_recovery->returns()),
       recovery(store_recovery),
@@ -27,42 +27,42 @@
       schedule(key_trust, seed),
       hooks(std::move(prover_hooks)) {}
 
-void ConfigProver::Tick(Time proved_at, Time now) {
+void ConfigRevalidator::Tick(Time proved_at, Time now) {
   std::optional<uint64_t> position = this->hooks.position();
   if (!position) return;
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   bool proves_nothing_yet = epoch.is_known() && !epoch.IsSettledFor(now);
   bool is_due = !proves_nothing_yet && this->schedule.IsDue(proved_at, now);
-  bool is_wanted_now = this->is_wanted && !this->schedule.is_asking();
-  if (is_due || is_wanted_now) this->Ask(*position, now);
+  bool is_wanted_now = this->is_requested && !this->schedule.is_asking();
+  if (is_due || is_wanted_now) this->Revalidate(*position, now);
 }
 
-void ConfigProver::Ask(uint64_t position, Time now) {
+void ConfigRevalidator::Revalidate(uint64_t position, Time now) {
   this->schedule.NoteAsked();
-  this->is_wanted = false;
+  this->is_requested = false;
   std::optional<uint64_t> epoch = this->recovery->returns().epoch().current();
   this->client.Call(
-      platform::ReadFrom(this->topic, position, /*wait=*/Duration(0), TopicFollower::kGlanceKb),
-      StoreClient::kAnswerPatience, [this, position, epoch, now](const StoreAnswer& answer) {
+      platform::ReadFrom(this->topic, position, /*wait=*/Duration(0), TopicFollower::kProbeKb),
+      StoreClient::kAnswerTimeout, [this, position, epoch, now](const StoreAnswer& answer) {
         this->OnAnswer(answer, position, epoch, now);
       });
 }
 
-void ConfigProver::NotePace(Duration took) {
+void ConfigRevalidator::RecordLatency(Duration took) {
   bool slow = took > kSlowAnswer;
   if (slow == this->store_is_slow) return;
   this->store_is_slow = slow;
-  this->hooks.pace_changed(slow, took);
+  this->hooks.speed_changed(slow, took);
 }
 
-void ConfigProver::OnAnswer(const StoreAnswer& answer, uint64_t position,
-                            std::optional<uint64_t> epoch, Time sent) {
+void ConfigRevalidator::OnAnswer(const StoreAnswer& answer, uint64_t position,
+                                 std::optional<uint64_t> epoch, Time sent) {
   if (!answer.ok() && answer.status != platform::kRecordsGone) {
-    this->recovery->Wait([this] { this->schedule.NoteRetry(); });
+    this->recovery->RetryLater([this] { this->schedule.NoteRetry(); });
     return;
   }
-  this->recovery->NoteAnswer();
-  this->NotePace(Now() - sent);
+  this->recovery->OnCallSucceeded();
+  this->RecordLatency(Now() - sent);
   if (answer.epoch != epoch) {
     // The place belongs to another epoch; the follower reads anew.
     this->schedule.NoteRetry();
@@ -70,13 +70,13 @@
   }
   if (!EndsAt(position, answer)) {
     this->schedule.NoteBehind(Now());
-    this->loop->RunAfter(TopicFollower::kNewsShouldHaveCome, [this, position] {
+    this->loop->RunAfter(TopicFollower::kMaxUpdateDelay, [this, position] {
       if (this->hooks.position() == position) this->hooks.behind();
     });
     return;
   }
   this->schedule.NoteProved();
-  if (!this->hooks.proved(sent)) this->schedule.NoteBehind(Now());
+  if (!this->hooks.validated(sent)) this->schedule.NoteBehind(Now());
 }
 
 }  // namespace gullward
--- a/src/gateway/config_prover.h
+++ b/src/gateway/config_revalidator.h
@@ -14,8 +14,8 @@
 //   ConfigProver prover(&loop, store, topic, trust, seed, hooks);
 //   prover.Tick(proved_at, now);          // every few milliseconds
 
-#ifndef GULLWARD_GATEWAY_CONFIG_PROVER_H_
-#define GULLWARD_GATEWAY_CONFIG_PROVER_H_
+#ifndef GULLWARD_GATEWAY_CONFIG_REVALIDATOR_H_
+#define GULLWARD_GATEWAY_CONFIG_REVALIDATOR_H_
 
 #include <functional>
 #include <optional>
@@ -28,7 +28,7 @@
 
 namespace gullward {
 
-class ConfigProver {
+class ConfigRevalidator {
  public:
   // An answer without waiting that takes longer than this is slow: the store's usual
   // is 4 ms, and an outage is noticed after a second.
@@ -39,26 +39,26 @@
     std::function<std::optional<uint64_t>()> position;
     // Nothing newer had been written at that time.  Whether that proves the configuration
     // current: it does not where a newer one is known of that the store lacks.
-    std::function<bool(Time sent)> proved;
+    std::function<bool(Time sent)> validated;
     // The store has begun to answer slowly, or to answer as usual again.
-    std::function<void(bool is_slow, Duration took)> pace_changed;
+    std::function<void(bool is_slow, Duration took)> speed_changed;
     // There are records that the follower has not brought yet.
     std::function<void()> behind;
   };
 
-  ConfigProver(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
-               std::string topic, Duration key_trust, uint64_t seed, Hooks hooks);
+  ConfigRevalidator(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
+                    std::string topic, Duration key_trust, uint64_t seed, Hooks hooks);
 
   // Asks if it is time, given when the configuration was last proved current.
   void Tick(Time proved_at, Time now);
   // A peer knows of a return of the store that we have not seen: asks at the next tick.
-  void AskSoon() { this->is_wanted = true; }
+  void RevalidateSoon() { this->is_requested = true; }
 
   uint64_t calls() const { return this->client.calls(); }
 
  private:
-  void Ask(uint64_t position, Time now);
-  void NotePace(Duration took);
+  void Revalidate(uint64_t position, Time now);
+  void RecordLatency(Duration took);
   void OnAnswer(const StoreAnswer& answer, uint64_t position, std::optional<uint64_t> epoch,
                 Time sent);
 
@@ -69,9 +69,9 @@
   ProofSchedule schedule;
   Hooks hooks;
   bool store_is_slow = false;
-  bool is_wanted = false;
+  bool is_requested = false;
 };
 
 }  // namespace gullward
 
-#endif  // GULLWARD_GATEWAY_CONFIG_PROVER_H_
+#endif  // GULLWARD_GATEWAY_CONFIG_REVALIDATOR_H_
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -89,7 +89,7 @@
   uint64_t connections() const { return this->check.connections(); }
   uint64_t store_calls() const { return this->kept.store_calls(); }
   uint64_t news_dropped() const { return this->shared.news_dropped(); }
-  uint64_t unkept() const { return this->kept.unkept(); }
+  uint64_t unkept() const { return this->kept.dropped_entries(); }
   const Quarantine& contents() const { return this->shared.contents(); }
 
  private:
--- a/src/gateway/engine_list_copy.cc
+++ b/src/gateway/engine_list_copy.cc
@@ -19,7 +19,7 @@
 // an earlier, longer list are emptied.
 std::map<std::string, std::string> RecordsOf(const std::vector<EngineRecord>& list,
                                              size_t parts_before, size_t* parts) {
-  *parts = 1 + list.size() / EngineListCopy::kEnginesInPart;
+  *parts = 1 + list.size() / EngineListCopy::kEnginesPerPart;
   std::vector<std::vector<EngineRecord>> split(std::max(*parts, parts_before));
   for (const EngineRecord& engine : list) split[HashOf(engine.id) % *parts].push_back(engine);
   std::map<std::string, std::string> records;
@@ -40,7 +40,7 @@
       schedule(seed),
       hooks(std::move(copy_hooks)) {}
 
-void EngineListCopy::NoteList(std::vector<EngineRecord> engines, Time now) {
+void EngineListCopy::SetList(std::vector<EngineRecord> engines, Time now) {
   this->list = std::move(engines);
   this->schedule.NoteList(HashOf(EncodeEngineList(this->list)), now);
 }
@@ -62,7 +62,7 @@
   auto first = this->unwritten.extract(this->unwritten.begin());
   platform::KeyedRecord record{first.key(), first.mapped()};
   this->client.Call(platform::AppendKeyed(platform::kEnginesCopyTopic, record),
-                    StoreClient::kAnswerPatience, [this](const StoreAnswer& answer) {
+                    StoreClient::kAnswerTimeout, [this](const StoreAnswer& answer) {
                       if (answer.ok()) return this->WriteNext();
                       // The next change, or the next pause, tries anew.
                       this->unwritten.clear();
@@ -72,7 +72,7 @@
 }
 
 void EngineListCopy::Read() {
-  if (this->is_busy || !this->hooks.is_wanted()) return;
+  if (this->is_busy || !this->hooks.is_needed()) return;
   this->is_busy = true;
   this->found.clear();
   this->ReadAfter("");
@@ -80,25 +80,25 @@
 
 void EngineListCopy::ReadAfter(const std::string& key) {
   this->client.Call(platform::NewestOfEachKey(platform::kEnginesCopyTopic, key),
-                    StoreClient::kAnswerPatience,
+                    StoreClient::kAnswerTimeout,
                     [this](const StoreAnswer& answer) { this->OnPage(answer); });
 }
 
-void EngineListCopy::NoteTried() {
-  if (!std::exchange(this->has_tried, true)) this->hooks.tried();
+void EngineListCopy::ReportFirstRead() {
+  if (!std::exchange(this->first_read_reported, true)) this->hooks.first_read_done();
 }
 
 void EngineListCopy::RetryRead() {
   this->is_busy = false;
-  this->NoteTried();
-  this->recovery->Wait([this] { this->Read(); });
+  this->ReportFirstRead();
+  this->recovery->RetryLater([this] { this->Read(); });
 }
 
 void EngineListCopy::OnPage(const StoreAnswer& answer) {
   absl::StatusOr<platform::KeyedPage> page = absl::UnavailableError(answer.reason);
   if (answer.ok()) page = platform::DecodeNewest(answer.body);
   if (!page.ok()) return this->RetryRead();
-  this->recovery->NoteAnswer();
+  this->recovery->OnCallSucceeded();
   for (const platform::KeyedRecord& record : page->records) {
     std::optional<std::vector<EngineRecord>> part = DecodeEngineList(record.value);
     if (part) {
@@ -111,12 +111,12 @@
   if (page->more && !page->records.empty()) return this->ReadAfter(page->records.back().key);
   this->is_busy = false;
   // Nothing there: before the first copy there is only the list itself.
-  if (!this->found.empty() && this->hooks.is_wanted()) {
+  if (!this->found.empty() && this->hooks.is_needed()) {
     this->log->Write(
         LogLine("engines_from_copy").Number("listed", static_cast<double>(this->found.size())));
     this->hooks.use(std::exchange(this->found, {}));
   }
-  this->NoteTried();
+  this->ReportFirstRead();
 }
 
 }  // namespace gullward
--- a/src/gateway/engine_list_copy.h
+++ b/src/gateway/engine_list_copy.h
@@ -39,26 +39,26 @@
 class EngineListCopy {
  public:
   // An entry takes 100 bytes, and a record 256 KiB at most.
-  static constexpr size_t kEnginesInPart = 1000;
+  static constexpr size_t kEnginesPerPart = 1000;
 
   struct Hooks {
     // Whether the engines are unknown, so that the copy is wanted.
-    std::function<bool()> is_wanted;
+    std::function<bool()> is_needed;
     // What the copy holds.
     std::function<void(const std::vector<EngineRecord>&)> use;
     // The first reading has ended, with the copy or without.
-    std::function<void()> tried;
+    std::function<void()> first_read_done;
   };
 
   EngineListCopy(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
                  EventLog* event_log, uint64_t seed, Hooks copy_hooks);
 
   // The list as it is now.
-  void NoteList(std::vector<EngineRecord> engines, Time now);
+  void SetList(std::vector<EngineRecord> engines, Time now);
   // The store has returned without what was written lately; it is written again.
   void OnStoreReturn() { this->schedule.NoteLost(this->recovery->returns().epoch().settled_at()); }
   // A peer's word on the content of the copy.
-  void HearCopied(const CopyMark& mark, Time now) { this->schedule.NoteCopy(mark, now); }
+  void OnPeerCopy(const CopyMark& mark, Time now) { this->schedule.NoteCopy(mark, now); }
   // What we tell peers of it.
   const CopyMark& copied() const { return this->schedule.copy(); }
   // How many gateways tell each other of it.
@@ -77,7 +77,7 @@
   void OnPage(const StoreAnswer& answer);
   void ReadAfter(const std::string& key);
   void RetryRead();
-  void NoteTried();
+  void ReportFirstRead();
 
   StoreClient client;
   StoreRecovery* recovery;
@@ -89,7 +89,7 @@
   std::map<std::string, std::string> unwritten;
   size_t parts_written = 0;
   bool is_busy = false;
-  bool has_tried = false;
+  bool first_read_reported = false;
   std::vector<EngineRecord> found;
 };
 
--- a/src/gateway/gateway_engine_list.cc
+++ b/src/gateway/gateway_engine_list.cc
@@ -38,7 +38,7 @@
                         .Number("code", static_cast<double>(ResultCode::kEntryUnreadable))
                         .Number("records", static_cast<double>(records)));
   };
-  hooks.pause_after_return = [this] { return this->DrawReadingPause(); };
+  hooks.pause_after_return = [this] { return this->RandomReadDelay(); };
   hooks.lost = [this, log_lost = hooks.lost](const std::string& reason) {
     log_lost(reason);
     if (this->state.fleet.mechanisms().copy_engine_list) this->engine_list_copy.Read();
@@ -48,22 +48,22 @@
 
 EngineListCopy::Hooks GatewayServer::EngineListCopyHooks() {
   EngineListCopy::Hooks hooks;
-  hooks.is_wanted = [this] { return !this->engines_known; };
+  hooks.is_needed = [this] { return !this->engines_known; };
   hooks.use = [this](const std::vector<EngineRecord>& engines) {
     this->state.fleet.directory().Replace(engines, Now(), this->KeepLapsedUntil());
     this->engines_known = true;
   };
-  hooks.tried = [this] { this->StartReadingEngines(); };
+  hooks.first_read_done = [this] { this->StartReadingEngines(); };
   return hooks;
 }
 
 // A peer has read a change of the engines' list that our waiting read did not bring.
 // The store answers such reads late now and then, with the change after that: an engine
 // that leaves must be left alone within two seconds.
-void GatewayServer::OnLongerEngineList(uint64_t offset) {
+void GatewayServer::OnPeerEngineListPosition(uint64_t offset) {
   if (!this->state.fleet.mechanisms().catch_up_with_peers) return;
   std::optional<uint64_t> own = this->engine_follower.position();
-  if (!own || *own >= offset || !this->engine_follower.ReadAgain()) return;
+  if (!own || *own >= offset || !this->engine_follower.RestartStalledRead()) return;
   this->log.Write(LogLine("engines_behind")
                       .Number("read_to", static_cast<double>(*own))
                       .Number("peer_read_to", static_cast<double>(offset)));
@@ -107,7 +107,7 @@
 }
 
 // The line by which operators see why work of before has failed.
-void GatewayServer::NoteRestart(const EngineRecord& engine) {
+void GatewayServer::RecordRestart(const EngineRecord& engine) {
   const EngineRecord* known = this->state.fleet.directory().Find(engine.id);
   if (known == nullptr || known->born >= engine.born) return;
   this->state.counters.engine_restarts += 1;
@@ -130,7 +130,7 @@
     this->state.fleet.directory().Remove(record.key, Now(), this->KeepLapsedUntil());
     return;
   }
-  this->NoteRestart(*engine);
+  this->RecordRestart(*engine);
   const EngineRecord* known = this->state.fleet.directory().Find(record.key);
   bool changed = known == nullptr || !(*known == *engine);
   if (changed) {
@@ -143,16 +143,16 @@
 
 // With the copy in hand, those who start together spread their reading of the list itself.
 void GatewayServer::StartReadingEngines() {
-  this->loop->RunAfter(this->DrawReadingPause(), [this] { this->engine_follower.Start(); });
+  this->loop->RunAfter(this->RandomReadDelay(), [this] { this->engine_follower.Start(); });
 }
 
-Duration GatewayServer::DrawReadingPause() {
+Duration GatewayServer::RandomReadDelay() {
   double engines = static_cast<double>(this->state.fleet.directory().size());
   std::uniform_real_distribution<double> draw(0, ToSeconds(kSpreadForEngine) * engines);
   return FromSeconds(draw(this->state.random));
 }
 
-Duration GatewayServer::DrawEngineListWait() {
+Duration GatewayServer::RandomEngineListWait() {
   double waits = static_cast<double>(this->load_exchange.neighbours()) / kNeighboursAWait;
   std::uniform_real_distribution<double> jitter(0.75, 1.25);
   Duration wait = FromSeconds(ToSeconds(kEngineListWait) * std::max(waits, 1.0));
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -59,14 +59,14 @@
                       this->EngineFollowerHooks()),
       engine_list_copy(event_loop, settings.store, &this->store_recovery, &this->log, random_seed,
                        this->EngineListCopyHooks()),
-      epoch_marker(event_loop, settings.store, &this->store_recovery, random_seed),
+      settled_epoch_writer(event_loop, settings.store, &this->store_recovery, random_seed),
       load_exchange(event_loop, settings, random_seed, &this->state.fleet, &this->log,
                     &this->store_recovery, this->LoadExchangeHooks()),
-      config_prover(event_loop, settings.store, &this->store_recovery,
-                    std::string(platform::kConfigTopic), settings.key_trust, random_seed,
-                    this->ProverHooks()),
+      config_revalidator(event_loop, settings.store, &this->store_recovery,
+                         std::string(platform::kConfigTopic), settings.key_trust, random_seed,
+                         this->RevalidatorHooks()),
       operator_pages(event_loop, OperatorPages(this->PageHooks())),
-      config_from_peers(event_loop, this->ConfigHooks()) {
+      config_from_peers(event_loop, this->ConfigFromPeersHooks()) {
   this->state.crash_watch = &this->crash_watch;
   this->store_recovery.returns().OnReturn([this] { this->OnStoreReturn(); });
 }
@@ -79,7 +79,7 @@
 // The store held nothing newer than our configuration when it was asked at `sent`.  That
 // proves it current, but not right after a return from an older copy, nor where the store
 // lacks a version that a peer has had since before.
-bool GatewayServer::NoteProof(Time sent) {
+bool GatewayServer::OnValidated(Time sent) {
   bool is_settled = this->store_recovery.returns().epoch().IsSettledFor(sent);
   bool lacks_newer = this->ConfigVersion() < this->state.newest_version_told &&
                      this->state.newest_version_told_at <= sent;
@@ -102,11 +102,11 @@
 }
 
 // A peer's word on a return is looked into and not believed.
-void GatewayServer::HearEpoch(uint64_t epoch, bool is_settled) {
+void GatewayServer::OnPeerEpoch(uint64_t epoch, bool is_settled) {
   StoreReturns& returns = this->store_recovery.returns();
   std::optional<uint64_t> own = returns.epoch().current();
   if (own == epoch && is_settled) returns.Settle(epoch);
-  if (own && *own < epoch) this->config_prover.AskSoon();
+  if (own && *own < epoch) this->config_revalidator.RevalidateSoon();
 }
 
 // A peer has a version that our own read should have brought by now: the read may
@@ -117,15 +117,15 @@
     this->state.newest_version_told = version;
     this->state.newest_version_told_at = now;
   }
-  if (version != this->version_behind) {
-    this->version_behind = version;
-    this->behind_since = this->looked_for_news = now;
+  if (version != this->newer_version) {
+    this->newer_version = version;
+    this->behind_since = this->last_catch_up = now;
     return;
   }
-  if (now - this->looked_for_news < TopicFollower::kNewsShouldHaveCome) return;
-  this->looked_for_news = now;
-  bool read_again = this->config_follower.ReadAgain();
-  bool asked = this->AsksForConfig(peer, now) && this->config_from_peers.Ask(peer.address);
+  if (now - this->last_catch_up < TopicFollower::kMaxUpdateDelay) return;
+  this->last_catch_up = now;
+  bool read_again = this->config_follower.RestartStalledRead();
+  bool asked = this->ShouldFetchConfig(peer, now) && this->config_from_peers.Fetch(peer.address);
   if (!read_again && !asked) return;
   this->log.Write(LogLine("config_behind")
                       .Number("peer_version", static_cast<double>(version))
@@ -133,10 +133,10 @@
 }
 
 // Peers of the own data centre come first: a configuration is large.
-bool GatewayServer::AsksForConfig(const Peer& peer, Time now) const {
+bool GatewayServer::ShouldFetchConfig(const Peer& peer, Time now) const {
   if (!this->state.fleet.mechanisms().config_from_peers || peer.address.port == 0) return false;
   bool is_near = peer.data_centre == this->state.settings.data_centre;
-  Duration waits = is_near ? TopicFollower::kNewsShouldHaveCome : kFarPeersTurn;
+  Duration waits = is_near ? TopicFollower::kMaxUpdateDelay : kFarPeersTurn;
   return now - this->behind_since >= waits;
 }
 
@@ -160,7 +160,7 @@
   }
   status = this->load_exchange.Start(peers_port);
   if (!status.ok()) return status;
-  this->state.tell_peers = [this] { this->load_exchange.Tell(Now()); };
+  this->state.tell_peers = [this] { this->load_exchange.SendLoads(Now()); };
   this->config_follower.Start();
   if (this->state.fleet.mechanisms().copy_engine_list) {
     this->engine_list_copy.Read();
@@ -183,7 +183,7 @@
   channel->SetHooks(
       {.request = [this, id](CallerRequest request) { this->OnRequest(id, std::move(request)); },
        .malformed = [this, id](ResultCode code) { this->OnMalformed(id, code); },
-       .gone = [this, id] { this->OnGone(id); },
+       .gone = [this, id] { this->OnCallerGone(id); },
        .drained =
            [this, id] {
              auto found = this->callers.find(id);
@@ -213,7 +213,7 @@
   found->second.channel->Answer(head, FailureBody(code));
 }
 
-void GatewayServer::OnGone(uint64_t caller_id) {
+void GatewayServer::OnCallerGone(uint64_t caller_id) {
   auto found = this->callers.find(caller_id);
   if (found == this->callers.end()) return;
   std::shared_ptr<Exchange> exchange = found->second.exchange;
@@ -244,14 +244,14 @@
   this->TickExchanges(now);
   this->crash_watch.Tick(now);
   this->load_exchange.Tick(now);
-  this->config_prover.Tick(this->state.keys.confirmed_at(), now);
-  this->NoteFreshness(now);
+  this->config_revalidator.Tick(this->state.keys.confirmed_at(), now);
+  this->LogKeyFreshness(now);
   if (this->stopping) this->StopWhenIdle(now);
   if (this->ticks % kSlowTicks == 0) {
     this->TickConnections(now);
     this->TickFleet(now);
     this->crash_watch.TickSlowly(now);
-    this->epoch_marker.Tick(now);
+    this->settled_epoch_writer.Tick(now);
   }
   this->log.Flush();
 }
@@ -268,7 +268,7 @@
 }
 
 // Tells the log when keys begin or cease to be accepted.
-void GatewayServer::NoteFreshness(Time now) {
+void GatewayServer::LogKeyFreshness(Time now) {
   bool fresh = this->state.keys.IsFresh(now);
   if (fresh == this->keys_were_fresh) return;
   this->keys_were_fresh = fresh;
@@ -288,12 +288,12 @@
 void GatewayServer::TickFleet(Time now) {
   size_t peers = this->load_exchange.peers();
   if (peers > 0) this->state.fleet.SetProcesses(peers + 1);
-  this->engine_follower.SetWait(this->DrawEngineListWait());
+  this->engine_follower.SetWait(this->RandomEngineListWait());
   this->state.pool.Tick(now);
   this->state.fleet.ForgetUnlisted(now);
   this->engine_list_copy.SetGateways(this->load_exchange.neighbours() + 1);
   if (std::exchange(this->engine_list_changed, false)) {
-    this->engine_list_copy.NoteList(this->state.fleet.directory().Listed(), now);
+    this->engine_list_copy.SetList(this->state.fleet.directory().Listed(), now);
   }
   if (this->state.fleet.mechanisms().copy_engine_list) this->engine_list_copy.Tick(now);
 }
@@ -312,7 +312,7 @@
 }
 
 // What is taken now could not be finished in the time that is left.
-void GatewayServer::TakeNoMore() {
+void GatewayServer::StopAccepting() {
   this->callers_listener.Close();
   for (auto& [id, caller] : this->callers) caller.channel->CloseIfIdle();
 }
@@ -324,7 +324,7 @@
     busy = busy || in_use;
   }
   Duration elapsed = now - this->stop_began;
-  if (elapsed >= kBalancerNotices) this->TakeNoMore();
+  if (elapsed >= kBalancerNotices) this->StopAccepting();
   bool out_of_time = elapsed >= this->state.settings.stop_grace - kStopMargin;
   bool done = !busy && elapsed >= kBalancerNotices;
   if (!done && !out_of_time) return;
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -20,14 +20,14 @@
 
 #include "absl/status/status.h"
 #include "gateway/config_from_peers.h"
-#include "gateway/config_prover.h"
+#include "gateway/config_revalidator.h"
 #include "gateway/crash_watch.h"
 #include "gateway/engine_list_copy.h"
-#include "gateway/epoch_marker.h"
 #include "gateway/exchange.h"
 #include "gateway/gateway_state.h"
 #include "gateway/load_exchange.h"
 #include "gateway/operator_pages.h"
+#include "gateway/settled_epoch_writer.h"
 #include "gateway/topic_follower.h"
 #include "transport/tcp_listener.h"
 
@@ -64,7 +64,7 @@
   size_t UsableEngines() const { return this->state.fleet.directory().Usable().size(); }
 
   // Whether the list has an engine of that id.
-  bool Knows(const std::string& id) const {
+  bool HasEngine(const std::string& id) const {
     return this->state.fleet.directory().Find(id) != nullptr;
   }
 
@@ -95,13 +95,13 @@
   void OnCaller(int fd);
   void OnRequest(uint64_t caller_id, CallerRequest request);
   void OnMalformed(uint64_t caller_id, ResultCode code);
-  void OnGone(uint64_t caller_id);
+  void OnCallerGone(uint64_t caller_id);
 
   void OnConfigRecord(const platform::KeyedRecord& record);
   void OnEngineRecords(const std::vector<platform::KeyedRecord>& records);
   void OnEngineRecord(const platform::KeyedRecord& record);
   std::optional<EngineRecord> ReadEngine(const platform::KeyedRecord& record);
-  void NoteRestart(const EngineRecord& engine);
+  void RecordRestart(const EngineRecord& engine);
   Time KeepLapsedUntil() const;
   TopicFollower::Hooks LoggingHooks(const std::string& topic);
   TopicFollower::Hooks ConfigFollowerHooks();
@@ -111,27 +111,27 @@
   LoadExchange::Hooks LoadExchangeHooks();
   CrashWatch::Options CrashWatchOptions() const;
   CrashWatch::Hooks CrashWatchHooks();
-  ConfigFromPeers::Hooks ConfigHooks();
-  ConfigProver::Hooks ProverHooks();
+  ConfigFromPeers::Hooks ConfigFromPeersHooks();
+  ConfigRevalidator::Hooks RevalidatorHooks();
   OperatorPageHooks PageHooks() const;
-  bool NoteProof(Time sent);
+  bool OnValidated(Time sent);
   void OnStoreReturn();
-  void HearEpoch(uint64_t epoch, bool is_settled);
+  void OnPeerEpoch(uint64_t epoch, bool is_settled);
   void OnNewerVersion(uint64_t version, const Peer& peer);
-  bool AsksForConfig(const Peer& peer, Time now) const;
-  void OnLongerEngineList(uint64_t offset);
+  bool ShouldFetchConfig(const Peer& peer, Time now) const;
+  void OnPeerEngineListPosition(uint64_t offset);
 
   // Looks at every clock.  The steps are in the order in which it takes them, the
   // last two only now and then.
   void Tick();
   void TickExchanges(Time now);
-  void NoteFreshness(Time now);
+  void LogKeyFreshness(Time now);
   void TickConnections(Time now);
   void TickFleet(Time now);
-  Duration DrawEngineListWait();
+  Duration RandomEngineListWait();
   void StartReadingEngines();
-  Duration DrawReadingPause();
-  void TakeNoMore();
+  Duration RandomReadDelay();
+  void StopAccepting();
   void StopWhenIdle(Time now);
   // The pages that operators read: metrics as text, the process's state as JSON.
   std::string Metrics() const;
@@ -145,9 +145,9 @@
   TopicFollower config_follower;
   TopicFollower engine_follower;
   EngineListCopy engine_list_copy;
-  EpochMarker epoch_marker;
+  SettledEpochWriter settled_epoch_writer;
   LoadExchange load_exchange;
-  ConfigProver config_prover;
+  ConfigRevalidator config_revalidator;
   TcpListener callers_listener;
   TcpListener ready_listener;
   TcpListener metrics_listener;
@@ -162,9 +162,9 @@
   bool keys_were_fresh = false;
   bool stopping = false;
   // The newer version that a peer told of, and since when.
-  uint64_t version_behind = 0;
+  uint64_t newer_version = 0;
   Time behind_since{};
-  Time looked_for_news{};
+  Time last_catch_up{};
   Time stop_began{};
 };
 
--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -30,30 +30,32 @@
     for (const platform::KeyedRecord& record : records) this->OnConfigRecord(record);
   };
   hooks.change = [this](const platform::KeyedRecord& record) { this->OnConfigRecord(record); };
-  hooks.up_to_date = [this](Time sent) { this->NoteProof(sent); };
+  hooks.up_to_date = [this](Time sent) { this->OnValidated(sent); };
   return hooks;
 }
 
 LoadExchange::Hooks GatewayServer::LoadExchangeHooks() {
   LoadExchange::Hooks hooks;
-  hooks.version = [this] { return this->ConfigVersion(); };
-  hooks.proved = [this] { return this->state.keys.confirmed_at(); };
-  hooks.confirm = [this](Time proved) { this->state.keys.Confirm(proved); };
-  hooks.behind = [this](uint64_t version, const Peer& peer) {
+  hooks.config_version = [this] { return this->ConfigVersion(); };
+  hooks.validated_at = [this] { return this->state.keys.confirmed_at(); };
+  hooks.on_validated = [this](Time proved) { this->state.keys.Confirm(proved); };
+  hooks.on_newer_version = [this](uint64_t version, const Peer& peer) {
     this->OnNewerVersion(version, peer);
   };
   hooks.engines_copied = [this] { return this->engine_list_copy.copied(); };
-  hooks.hear_engines_copied = [this](const CopyMark& mark) {
-    this->engine_list_copy.HearCopied(mark, Now());
+  hooks.on_engines_copied = [this](const CopyMark& mark) {
+    this->engine_list_copy.OnPeerCopy(mark, Now());
   };
-  hooks.hear_epoch = [this](uint64_t epoch, bool is_settled) {
-    this->HearEpoch(epoch, is_settled);
+  hooks.on_store_epoch = [this](uint64_t epoch, bool is_settled) {
+    this->OnPeerEpoch(epoch, is_settled);
+  };
+  hooks.settled_epoch_record = [this](const std::string& value) {
+    this->settled_epoch_writer.OnRecord(value);
   };
-  hooks.epoch_record = [this](const std::string& value) { this->epoch_marker.OnRecord(value); };
   hooks.engines_read_to = [this] { return this->engine_follower.position().value_or(0); };
-  hooks.hear_engines_read_to = [this](uint64_t offset) { this->OnLongerEngineList(offset); };
-  hooks.take_news = [this] { return this->crash_watch.TakeNews(); };
-  hooks.hear_news = [this](const std::string& box, const CrashNews& news) {
+  hooks.on_engines_read_to = [this](uint64_t offset) { this->OnPeerEngineListPosition(offset); };
+  hooks.take_gossip = [this] { return this->crash_watch.TakeNews(); };
+  hooks.on_gossip = [this](const std::string& box, const CrashNews& news) {
     return this->crash_watch.Hear(box, news, Now());
   };
   hooks.quarantine_record = [this](ContentId content, const std::string& value) {
@@ -85,7 +87,7 @@
   return hooks;
 }
 
-ConfigFromPeers::Hooks GatewayServer::ConfigHooks() {
+ConfigFromPeers::Hooks GatewayServer::ConfigFromPeersHooks() {
   ConfigFromPeers::Hooks hooks;
   hooks.own_record = [this] { return this->state.config_record; };
   hooks.received = [this](const std::string& record) {
@@ -94,20 +96,20 @@
   return hooks;
 }
 
-ConfigProver::Hooks GatewayServer::ProverHooks() {
-  ConfigProver::Hooks hooks;
+ConfigRevalidator::Hooks GatewayServer::RevalidatorHooks() {
+  ConfigRevalidator::Hooks hooks;
   hooks.position = [this] { return this->config_follower.position(); };
-  hooks.proved = [this](Time sent) {
-    if (!this->NoteProof(sent)) return false;
-    this->load_exchange.TellFreshness(Now());
+  hooks.validated = [this](Time sent) {
+    if (!this->OnValidated(sent)) return false;
+    this->load_exchange.SendFreshness(Now());
     return true;
   };
-  hooks.pace_changed = [this](bool is_slow, Duration took) {
+  hooks.speed_changed = [this](bool is_slow, Duration took) {
     this->log.Write(LogLine(is_slow ? "store_slow" : "store_as_usual")
                         .Number("took_ms", ToSeconds(took) * 1000));
   };
   hooks.behind = [this] {
-    if (this->config_follower.ReadAgain()) this->log.Write(LogLine("config_read_hangs"));
+    if (this->config_follower.RestartStalledRead()) this->log.Write(LogLine("config_read_hangs"));
   };
   return hooks;
 }
--- a/src/gateway/gateway_server_pages.cc
+++ b/src/gateway/gateway_server_pages.cc
@@ -8,14 +8,14 @@
 namespace gullward {
 
 std::string GatewayServer::Metrics() const {
-  PageFigures figures;
+  MetricsSnapshot figures;
   figures.engine_connections = this->state.pool.opened() + this->crash_watch.connections();
   figures.crashes = &this->crash_watch;
   figures.log_lines_dropped = this->log.dropped();
   figures.store_calls = this->config_follower.calls() + this->engine_follower.calls() +
-                        this->load_exchange.store_calls() + this->config_prover.calls() +
+                        this->load_exchange.store_calls() + this->config_revalidator.calls() +
                         this->engine_list_copy.store_calls() + this->crash_watch.store_calls() +
-                        this->epoch_marker.store_calls();
+                        this->settled_epoch_writer.store_calls();
   figures.configs_from_peers = this->config_from_peers.received();
   figures.store_returns = this->store_recovery.returns().epoch().returns();
   figures.engines = this->state.fleet.directory().size();
@@ -24,8 +24,8 @@
   figures.home_engines = this->state.fleet.home_engines();
   figures.datagrams_sent = this->load_exchange.datagrams_sent();
   figures.datagram_bytes_sent = this->load_exchange.bytes_sent();
-  figures.datagrams_heard = this->load_exchange.datagrams_heard();
-  figures.peers_left_for_later = this->load_exchange.left_for_later();
+  figures.datagrams_received = this->load_exchange.datagrams_received();
+  figures.peers_deferred = this->load_exchange.deferred_peers();
   const EngineNotices& notices = this->state.fleet.notices();
   figures.engines_limited = notices.limited();
   figures.engines_leaving = notices.leaving();
--- a/src/gateway/http_pages.cc
+++ b/src/gateway/http_pages.cc
@@ -38,8 +38,8 @@
   return page;
 }
 
-HttpPages::HttpPages(EventLoop* event_loop, Maker page_maker)
-    : loop(event_loop), make(std::move(page_maker)) {}
+HttpPages::HttpPages(EventLoop* event_loop, Handler page_maker)
+    : loop(event_loop), handler(std::move(page_maker)) {}
 
 void HttpPages::Adopt(int fd) {
   CallerLimits limits;
@@ -48,7 +48,7 @@
   std::weak_ptr<CallerChannel> weak = channel;
   CallerChannel::Hooks hooks;
   hooks.request = [this, weak](const CallerRequest& request) {
-    if (auto self = weak.lock()) AnswerWith(self.get(), this->make(request.head.target));
+    if (auto self = weak.lock()) AnswerWith(self.get(), this->handler(request.head.target));
   };
   hooks.malformed = [weak](ResultCode code) {
     if (auto self = weak.lock()) AnswerMalformed(self.get(), code);
--- a/src/gateway/http_pages.h
+++ b/src/gateway/http_pages.h
@@ -30,9 +30,9 @@
 
 class HttpPages {
  public:
-  using Maker = std::function<HttpPage(const std::string& path)>;
+  using Handler = std::function<HttpPage(const std::string& path)>;
 
-  HttpPages(EventLoop* event_loop, Maker page_maker);
+  HttpPages(EventLoop* event_loop, Handler page_maker);
 
   // Answers what is asked on an accepted connection.
   void Adopt(int fd);
@@ -44,7 +44,7 @@
 
  private:
   EventLoop* loop;
-  Maker make;
+  Handler handler;
   std::vector<std::shared_ptr<CallerChannel>> channels;
 };
 
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -49,7 +49,7 @@
            .regained = {},
            .read_short = {},
            .unreadable = {},
-           .pause_after_return = [this] { return this->DrawPauseAfterReturn(); }}),
+           .pause_after_return = [this] { return this->RandomDelayAfterReturn(); }}),
       random(own_incarnation),
       hooks(std::move(exchange_hooks)),
       freshness(own_incarnation) {}
@@ -69,7 +69,7 @@
   return EncodeGatewayEntry({this->box, this->own_address, this->data_centre});
 }
 
-Duration LoadExchange::DrawPauseAfterReturn() {
+Duration LoadExchange::RandomDelayAfterReturn() {
   double longest = ToSeconds(kReturnPauseForPeer) * static_cast<double>(this->directory.size());
   std::uniform_real_distribution<double> draw(0, longest);
   return FromSeconds(draw(this->random));
@@ -89,7 +89,7 @@
                          this->log->Write(LogLine("register_failed")
                                               .Number("status", answer.status)
                                               .Text("reason", answer.reason));
-                         this->recovery->Wait([this] { this->Register(); });
+                         this->recovery->RetryLater([this] { this->Register(); });
                        });
 }
 
@@ -110,7 +110,7 @@
     return;
   }
   if (record.key == kEpochMarkKey) {
-    this->hooks.epoch_record(record.value);
+    this->hooks.settled_epoch_record(record.value);
     return;
   }
   if (record.key == this->box) return;
@@ -125,15 +125,15 @@
 }
 
 void LoadExchange::OnDatagram(std::string_view datagram) {
-  this->heard += 1;
+  this->received += 1;
   std::optional<LoadDigest> digest = DecodeDigest(datagram);
   if (!digest || digest->box == this->box) return;
-  if (digest->freshness) this->HearNote(*digest);
-  if (!digest->crash_news.empty()) this->HearNews(*digest);
+  if (digest->freshness) this->OnFreshnessNote(*digest);
+  if (!digest->crash_news.empty()) this->OnGossip(*digest);
   Time now = Now();
   this->liveness.Hear(digest->box, now);
-  this->HearNotices(*digest, now);
-  this->HearOfStore(*digest);
+  this->OnNotices(*digest, now);
+  this->OnStoreState(*digest);
   if (digest->is_offer) {
     this->fleet->HearOffer(digest->box, digest->incarnation, digest->sequence, digest->loads, now);
     return;
@@ -145,104 +145,104 @@
 }
 
 // Offsets and copies of one epoch say nothing in another.
-void LoadExchange::HearOfStore(const LoadDigest& digest) {
+void LoadExchange::OnStoreState(const LoadDigest& digest) {
   if (digest.store_epoch) {
-    this->hooks.hear_epoch(*digest.store_epoch, digest.epoch_is_settled);
+    this->hooks.on_store_epoch(*digest.store_epoch, digest.epoch_is_settled);
   }
   if (digest.store_epoch != this->recovery->returns().epoch().current()) return;
-  this->hooks.hear_engines_read_to(digest.engines_read_to);
-  if (digest.engines_copied.content != 0) this->hooks.hear_engines_copied(digest.engines_copied);
+  this->hooks.on_engines_read_to(digest.engines_read_to);
+  if (digest.engines_copied.content != 0) this->hooks.on_engines_copied(digest.engines_copied);
 }
 
-void LoadExchange::HearNote(const LoadDigest& digest) {
-  uint64_t own_version = this->hooks.version();
+void LoadExchange::OnFreshnessNote(const LoadDigest& digest) {
+  uint64_t own_version = this->hooks.config_version();
   std::optional<Time> proved =
       this->freshness.Hear(digest.box, digest.incarnation, *digest.freshness, own_version, Now());
-  if (proved) this->hooks.confirm(*proved);
+  if (proved) this->hooks.on_validated(*proved);
   if (digest.freshness->config_version <= own_version) return;
   const Peer* peer = this->directory.Find(digest.box);
-  this->hooks.behind(digest.freshness->config_version,
-                     peer != nullptr ? *peer : Peer{digest.box, {}, {}});
+  this->hooks.on_newer_version(digest.freshness->config_version,
+                               peer != nullptr ? *peer : Peer{digest.box, {}, {}});
 }
 
-void LoadExchange::HearNews(const LoadDigest& digest) {
-  CrashNews reply = this->hooks.hear_news(digest.box, digest.crash_news);
+void LoadExchange::OnGossip(const LoadDigest& digest) {
+  CrashNews reply = this->hooks.on_gossip(digest.box, digest.crash_news);
   if (reply.empty()) return;
   const Peer* peer = this->directory.Find(digest.box);
-  if (peer != nullptr) this->SendNews(*peer, std::move(reply), Now());
+  if (peer != nullptr) this->SendGossip(*peer, std::move(reply), Now());
 }
 
 // One part at a time, to a few: what waits goes with the next ticks.
-void LoadExchange::TellNews(Time now) {
-  CrashNews news = this->hooks.take_news();
+void LoadExchange::SendPendingGossip(Time now) {
+  CrashNews news = this->hooks.take_gossip();
   if (news.empty()) return;
   for (const Peer* peer : this->directory.Draw(CrashNewsQueue::kFanout, &this->random)) {
-    this->SendNews(*peer, news, now);
+    this->SendGossip(*peer, news, now);
   }
 }
 
-void LoadExchange::SendNews(const Peer& peer, CrashNews news, Time now) {
+void LoadExchange::SendGossip(const Peer& peer, CrashNews news, Time now) {
   LoadDigest digest = this->NewDigest(now);
   digest.sequence = ++this->sequence;
   digest.crash_news = std::move(news);
   this->Send(peer, EncodeDigest(digest));
 }
 
-void LoadExchange::TellFreshness(Time now) {
-  uint64_t version = this->hooks.version();
+void LoadExchange::SendFreshness(Time now) {
+  uint64_t version = this->hooks.config_version();
   if (version == 0) return;
   this->freshness.BeginRound(now);
   LoadDigest digest = this->NewDigest(now);
   for (const Peer* peer : this->Neighbours(now)) {
     digest.sequence = ++this->sequence;
-    digest.freshness = this->freshness.NoteFor(peer->box, version, this->hooks.proved(), now);
+    digest.freshness = this->freshness.NoteFor(peer->box, version, this->hooks.validated_at(), now);
     this->Send(*peer, EncodeDigest(digest));
   }
 }
 
 void LoadExchange::Tick(Time now) {
-  this->TellNews(now);
-  if (now - this->last_told >= kGatherChanges) this->Tell(now);
+  this->SendPendingGossip(now);
+  if (now - this->last_send >= kSendInterval) this->SendLoads(now);
 }
 
-void LoadExchange::Tell(Time now) {
+void LoadExchange::SendLoads(Time now) {
   if (std::exchange(this->peers_changed, false)) {
     this->fleet->SetGateways(this->directory.Names());
   }
   if (this->directory.size() == 0) return;
-  this->last_told = now;
-  bool refresh = now - this->refreshed >= kRefresh;
+  this->last_send = now;
+  bool refresh = now - this->last_refresh >= kRefreshInterval;
   if (refresh) {
-    this->refreshed = now;
+    this->last_refresh = now;
     this->rounds += 1;
     this->directory.BeginRound();
-    this->TellFreshness(now);
+    this->SendFreshness(now);
     this->SendOffers(now);
-    this->NoteSilentPeers(now);
+    this->UpdateSilentPeers(now);
   }
-  this->TellNotices(refresh && this->rounds % kNoticeRounds == 0, now);
-  this->SendToCells(this->TakeUntold(refresh, now), now);
+  this->SendNotices(refresh && this->rounds % kRoundsPerNoticeRefresh == 0, now);
+  this->SendToCells(this->TakeUnsent(refresh, now), now);
 }
 
 // The loads that the others must hear of now, or all of them; they count as told.
-std::map<std::string, EngineLoad> LoadExchange::TakeUntold(bool all, Time now) {
+std::map<std::string, EngineLoad> LoadExchange::TakeUnsent(bool all, Time now) {
   std::map<std::string, EngineLoad> own = this->fleet->loads().Own(now);
   // What was told and is no more is told once as zero.
-  for (const auto& [engine, load] : this->told) own.try_emplace(engine);
-  std::map<std::string, EngineLoad> untold;
+  for (const auto& [engine, load] : this->sent_loads) own.try_emplace(engine);
+  std::map<std::string, EngineLoad> unsent;
   bool count_reading = this->fleet->mechanisms().tell_reading;
   for (const auto& [engine, load] : own) {
-    auto before = this->told.find(engine);
-    bool is_new = before == this->told.end() || IsNews(before->second, load, count_reading);
+    auto before = this->sent_loads.find(engine);
+    bool is_new = before == this->sent_loads.end() || IsNews(before->second, load, count_reading);
     if (!is_new && !all) continue;
-    untold[engine] = load;
+    unsent[engine] = load;
     if (load.requests == 0 && load.reading_ms == 0) {
-      this->told.erase(engine);
+      this->sent_loads.erase(engine);
     } else {
-      this->told[engine] = load;
+      this->sent_loads[engine] = load;
     }
   }
-  return untold;
+  return unsent;
 }
 
 std::vector<const Peer*> LoadExchange::Neighbours(Time now) {
@@ -255,7 +255,7 @@
 }
 
 // Nobody where the engine is no longer listed: nobody chooses it then.
-std::vector<const Peer*> LoadExchange::ThoseOnEngine(const std::string& engine, Time now) {
+std::vector<const Peer*> LoadExchange::GatewaysOfEngine(const std::string& engine, Time now) {
   const EngineRecord* record = this->fleet->directory().FindIncarnation(engine);
   if (record == nullptr) return {};
   const WorkPlan& plan = this->fleet->plan(now);
@@ -267,7 +267,7 @@
 void LoadExchange::SendToCells(const std::map<std::string, EngineLoad>& loads, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, EngineLoad>> by_members;
   for (const auto& [engine, load] : loads) {
-    by_members[this->ThoseOnEngine(engine, now)][engine] = load;
+    by_members[this->GatewaysOfEngine(engine, now)][engine] = load;
   }
   for (auto& [members, part] : by_members) this->SendInParts(std::move(part), members, now);
 }
@@ -304,10 +304,10 @@
 }
 
 // Changes at once, all that still holds in each round.
-void LoadExchange::TellNotices(bool all, Time now) {
+void LoadExchange::SendNotices(bool all, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, NoticeWord>> by_members;
   for (const auto& [engine, word] : this->fleet->NoticesToTell(all, now)) {
-    by_members[this->ThoseOnEngine(engine, now)][engine] = word;
+    by_members[this->GatewaysOfEngine(engine, now)][engine] = word;
   }
   for (auto& [members, words] : by_members) {
     LoadDigest digest = this->NewDigest(now);
@@ -323,7 +323,7 @@
   }
 }
 
-void LoadExchange::HearNotices(const LoadDigest& digest, Time now) {
+void LoadExchange::OnNotices(const LoadDigest& digest, Time now) {
   for (const auto& [engine, word] : digest.notices) {
     EngineNotices::Change change = this->fleet->notices().HearWord(engine, word, now);
     if (!change.any()) continue;
@@ -337,7 +337,7 @@
 }
 
 // The members of the home cell tell each other something in every round.
-void LoadExchange::NoteSilentPeers(Time now) {
+void LoadExchange::UpdateSilentPeers(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.Of(plan.main_service());
   std::vector<std::string> boxes;
@@ -365,7 +365,7 @@
   digest.store_epoch = epoch.current();
   digest.epoch_is_settled = epoch.IsSettledFor(now);
   for (const std::string& engine : this->fleet->SetAside(now)) {
-    if (digest.set_aside.size() < kMostSetAsideTold) digest.set_aside.insert(engine);
+    if (digest.set_aside.size() < kMaxSetAsideEntries) digest.set_aside.insert(engine);
   }
   return digest;
 }
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -49,41 +49,41 @@
   // How long changes that nobody waits for are gathered: a prompt has been read, an
   // answer has ended.  Every datagram goes to every peer, and with 28 gateways they
   // outnumbered the events that were passed on.
-  static constexpr Duration kGatherChanges = milliseconds(100);
+  static constexpr Duration kSendInterval = milliseconds(100);
   // How often everything is told, changed or not.
-  static constexpr Duration kRefresh = milliseconds(500);
+  static constexpr Duration kRefreshInterval = milliseconds(500);
   // Notices of engines that have not changed are told again each so many times.
-  static constexpr int kNoticeRounds = 4;
+  static constexpr int kRoundsPerNoticeRefresh = 4;
   // Entries that fit into one datagram with room to spare.
   static constexpr size_t kEntriesPerDatagram = 12;
   // Engines set aside that one datagram names at most.
-  static constexpr size_t kMostSetAsideTold = 16;
+  static constexpr size_t kMaxSetAsideEntries = 16;
 
   // What a note says and proves; the owner keeps the configuration.
   struct Hooks {
-    std::function<uint64_t()> version;
+    std::function<uint64_t()> config_version;
     // When our own version was last proved current.
-    std::function<Time()> proved;
+    std::function<Time()> validated_at;
     // A peer has proved our version current at that time.
-    std::function<void(Time)> confirm;
+    std::function<void(Time)> on_validated;
     // A peer has a newer version than we.
-    std::function<void(uint64_t version, const Peer& peer)> behind;
+    std::function<void(uint64_t config_version, const Peer& peer)> on_newer_version;
     // What the copy of the engines' list holds, as we know it and as a peer does.
     std::function<CopyMark()> engines_copied;
-    std::function<void(const CopyMark& mark)> hear_engines_copied;
+    std::function<void(const CopyMark& mark)> on_engines_copied;
     // How far we have read the engines' list, and how far a peer has.
     std::function<uint64_t()> engines_read_to;
-    std::function<void(uint64_t offset)> hear_engines_read_to;
+    std::function<void(uint64_t offset)> on_engines_read_to;
     // The store's epoch as a peer knows it, and whether it has for long enough.
-    std::function<void(uint64_t epoch, bool is_settled)> hear_epoch;
+    std::function<void(uint64_t epoch, bool is_settled)> on_store_epoch;
     // News of engines that ended, to be told to a few; nothing in it where there is none.
-    std::function<CrashNews()> take_news;
+    std::function<CrashNews()> take_gossip;
     // A peer's news, and what to tell that peer in turn.
-    std::function<CrashNews(const std::string& box, const CrashNews& news)> hear_news;
+    std::function<CrashNews(const std::string& box, const CrashNews& news)> on_gossip;
     // An entry of the peers' topic that is about a content in quarantine.
     std::function<void(ContentId content, const std::string& value)> quarantine_record;
     // The entry of the peers' topic that says which epoch of the store is settled.
-    std::function<void(const std::string& value)> epoch_record;
+    std::function<void(const std::string& value)> settled_epoch_record;
   };
 
   LoadExchange(EventLoop* event_loop, const GatewaySettings& settings, uint64_t own_incarnation,
@@ -95,7 +95,7 @@
 
   // Sends what has changed since it was last told: at once, for new work that others
   // must not plan over.
-  void Tell(Time now);
+  void SendLoads(Time now);
   // The same after changes have gathered for a while; to be called often.
   void Tick(Time now);
 
@@ -104,7 +104,7 @@
   void OnStoreReturn() { this->is_registered = false; }
 
   // Tells how current our configuration is: at once after a proof of our own.
-  void TellFreshness(Time now);
+  void SendFreshness(Time now);
 
   // All gateways that are known besides this one.
   size_t peers() const { return this->directory.size(); }
@@ -114,34 +114,34 @@
   // later round, since the process began.
   uint64_t datagrams_sent() const { return this->sent; }
   uint64_t bytes_sent() const { return this->sent_bytes; }
-  uint64_t datagrams_heard() const { return this->heard; }
-  uint64_t left_for_later() const { return this->directory.untold(); }
+  uint64_t datagrams_received() const { return this->received; }
+  uint64_t deferred_peers() const { return this->directory.untold(); }
   uint64_t store_calls() const { return this->follower.calls() + this->registrar.calls(); }
 
  private:
   std::string OwnEntry() const;
-  Duration DrawPauseAfterReturn();
+  Duration RandomDelayAfterReturn();
   void RegisterOnce();
   void Register();
   void OnPeerRecords(const std::vector<platform::KeyedRecord>& records);
   void OnPeerRecord(const platform::KeyedRecord& record);
   void OnDatagram(std::string_view datagram);
-  void HearOfStore(const LoadDigest& digest);
-  void HearNote(const LoadDigest& digest);
-  void HearNews(const LoadDigest& digest);
-  void TellNews(Time now);
-  void SendNews(const Peer& peer, CrashNews news, Time now);
+  void OnStoreState(const LoadDigest& digest);
+  void OnFreshnessNote(const LoadDigest& digest);
+  void OnGossip(const LoadDigest& digest);
+  void SendPendingGossip(Time now);
+  void SendGossip(const Peer& peer, CrashNews news, Time now);
   LoadDigest NewDigest(Time now);
-  std::map<std::string, EngineLoad> TakeUntold(bool all, Time now);
+  std::map<std::string, EngineLoad> TakeUnsent(bool all, Time now);
   std::vector<const Peer*> Neighbours(Time now);
-  std::vector<const Peer*> ThoseOnEngine(const std::string& engine, Time now);
+  std::vector<const Peer*> GatewaysOfEngine(const std::string& engine, Time now);
   void SendToCells(const std::map<std::string, EngineLoad>& loads, Time now);
   void SendInParts(std::map<std::string, EngineLoad> loads, const std::vector<const Peer*>& to,
                    Time now);
   void SendOffers(Time now);
-  void TellNotices(bool all, Time now);
-  void HearNotices(const LoadDigest& digest, Time now);
-  void NoteSilentPeers(Time now);
+  void SendNotices(bool all, Time now);
+  void OnNotices(const LoadDigest& digest, Time now);
+  void UpdateSilentPeers(Time now);
   void Send(const Peer& peer, const std::string& datagram);
 
   EventLoop* loop;
@@ -163,15 +163,15 @@
   Hooks hooks;
   PeerFreshness freshness;
   PeerLiveness liveness;
-  std::map<std::string, EngineLoad> told;
-  Time refreshed{};
+  std::map<std::string, EngineLoad> sent_loads;
+  Time last_refresh{};
   uint64_t rounds = 0;
-  Time last_told{};
+  Time last_send{};
   uint64_t sequence = 0;
   size_t neighbour_count = 0;
   uint64_t sent = 0;
   uint64_t sent_bytes = 0;
-  uint64_t heard = 0;
+  uint64_t received = 0;
 };
 
 }  // namespace gullward
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -12,7 +12,7 @@
 
 constexpr double kBytesPerKilobyte = 1024;
 
-void AddCounts(const GatewayCounters& counters, const PageFigures& figures, MetricsText* text) {
+void AddCounts(const GatewayCounters& counters, const MetricsSnapshot& figures, MetricsText* text) {
   auto count = [text](const std::string& name, const std::string& help, uint64_t value) {
     text->Counter(name, help, {}, static_cast<double>(value));
   };
@@ -27,9 +27,9 @@
   count("gullward_spilled_total", "Attempts at engines of other cells", counters.spilled);
   count("gullward_datagrams_sent_total", "Datagrams to peers", figures.datagrams_sent);
   count("gullward_datagram_bytes_sent_total", "Bytes of them", figures.datagram_bytes_sent);
-  count("gullward_datagrams_heard_total", "Datagrams of peers", figures.datagrams_heard);
+  count("gullward_datagrams_heard_total", "Datagrams of peers", figures.datagrams_received);
   count("gullward_peers_left_for_later_total", "Members of large cells told in a later round",
-        figures.peers_left_for_later);
+        figures.peers_deferred);
   count("gullward_engine_orders_total", "Orders to engines", counters.orders);
   count("gullward_engine_entries_unreadable_total", "Entries that name no engine to use",
         counters.entries_unreadable);
@@ -107,7 +107,7 @@
 
 }  // namespace
 
-std::string MetricsPage(const GatewayCounters& counters, const PageFigures& figures) {
+std::string MetricsPage(const GatewayCounters& counters, const MetricsSnapshot& figures) {
   MetricsText text;
   AddCounts(counters, figures, &text);
   AddCrashes(*figures.crashes, &text);
--- a/src/gateway/metrics_page.h
+++ b/src/gateway/metrics_page.h
@@ -17,7 +17,7 @@
 namespace gullward {
 
 // What the page shows besides the counters of requests.
-struct PageFigures {
+struct MetricsSnapshot {
   // Since the process began.
   uint64_t engine_connections = 0;
   uint64_t log_lines_dropped = 0;
@@ -28,9 +28,9 @@
   uint64_t store_returns = 0;
   uint64_t datagrams_sent = 0;
   uint64_t datagram_bytes_sent = 0;
-  uint64_t datagrams_heard = 0;
+  uint64_t datagrams_received = 0;
   // Members of a cell that had to wait for a later round.
-  uint64_t peers_left_for_later = 0;
+  uint64_t peers_deferred = 0;
   // At this moment.
   size_t engines = 0;
   size_t peers = 0;
@@ -50,11 +50,11 @@
   // Of requests that end engines; never null on the page.
   const CrashWatch* crashes = nullptr;
 
-  bool operator==(const PageFigures&) const = default;
+  bool operator==(const MetricsSnapshot&) const = default;
 };
 
 // Adds what the kernel says of this process: processor time and memory.
-std::string MetricsPage(const GatewayCounters& counters, const PageFigures& figures);
+std::string MetricsPage(const GatewayCounters& counters, const MetricsSnapshot& figures);
 
 }  // namespace gullward
 
--- a/src/gateway/operator_pages.cc
+++ b/src/gateway/operator_pages.cc
@@ -8,7 +8,7 @@
 
 namespace gullward {
 
-HttpPages::Maker OperatorPages(OperatorPageHooks hooks) {
+HttpPages::Handler OperatorPages(OperatorPageHooks hooks) {
   return [hooks = std::move(hooks)](const std::string& path) {
     HttpPage page;
     if (path == "/metrics") {
--- a/src/gateway/operator_pages.h
+++ b/src/gateway/operator_pages.h
@@ -22,7 +22,7 @@
   std::function<bool()> is_ready;
 };
 
-HttpPages::Maker OperatorPages(OperatorPageHooks hooks);
+HttpPages::Handler OperatorPages(OperatorPageHooks hooks);
 
 }  // namespace gullward
 
--- a/src/gateway/quarantine_store.h
+++ b/src/gateway/quarantine_store.h
@@ -36,12 +36,12 @@
   // write some two or three times, which does no harm.
   static constexpr Duration kWitnessSpread = seconds(2);
   // The others wait for longer than any witness and its news can take, and spread over this.
-  static constexpr Duration kOthersWait = seconds(6);
-  static constexpr Duration kOthersSpread = seconds(30);
+  static constexpr Duration kNonWitnessDelay = seconds(6);
+  static constexpr Duration kNonWitnessSpread = seconds(30);
   // Over which the removal of an entry that is over is spread.
   static constexpr Duration kRemovalSpread = seconds(60);
   // 60 bytes each, which every gateway reads when it starts.
-  static constexpr size_t kMostKept = 256;
+  static constexpr size_t kMaxEntries = 256;
 
   QuarantineStore(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
                   uint64_t seed)
@@ -59,37 +59,38 @@
   bool OnRecord(ContentId content, const std::optional<QuarantineEntry>& entry);
 
   // The store has returned without what was written lately: nothing is known of it now.
-  void OnStoreReturn() { this->kept.clear(); }
+  void OnStoreReturn() { this->stored.clear(); }
 
   // Writes what is due.  `unix_ms` is the time of day.
   void Tick(Time now, int64_t unix_ms);
 
   uint64_t store_calls() const { return this->client.calls(); }
   // Entries that were not kept for want of room.
-  uint64_t unkept() const { return this->unkept_count; }
+  uint64_t dropped_entries() const { return this->dropped_count; }
 
  private:
-  struct Wish {
+  struct PendingWrite {
     // Empty: that there be none.
     std::string value;
     Time due;
   };
 
-  void WishInTurn(ContentId content, std::string value, bool is_witness, Time now);
-  void WishFor(ContentId content, std::string value, Duration wait, Duration spread, Time now);
-  void RemoveEnded(Time now, int64_t unix_ms);
+  void ScheduleWriteByRole(ContentId content, std::string value, bool is_witness, Time now);
+  void ScheduleWrite(ContentId content, std::string value, Duration wait, Duration spread,
+                     Time now);
+  void ScheduleExpiredRemovals(Time now, int64_t unix_ms);
   void Write(ContentId content, const std::string& value);
 
   StoreClient client;
   StoreRecovery* recovery;
   std::mt19937_64 random;
   // What the topic holds: until when, in Unix milliseconds.
-  std::map<ContentId, int64_t> kept;
-  std::map<ContentId, Wish> wishes;
+  std::map<ContentId, int64_t> stored;
+  std::map<ContentId, PendingWrite> pending;
   // Entries that were removed, by their end in Unix milliseconds; at most kMostKept.
   std::map<ContentId, int64_t> removed;
   bool is_busy = false;
-  uint64_t unkept_count = 0;
+  uint64_t dropped_count = 0;
 };
 
 }  // namespace gullward
--- a/src/gateway/epoch_marker.cc
+++ b/src/gateway/settled_epoch_writer.cc
@@ -1,44 +1,44 @@
-// epoch_marker.h tells the method.
+// Implementation of settled_epoch_writer.h.
 
-#include "gateway/epoch_marker.h"
+#include "gateway/settled_epoch_writer.h"
 
 #include "serving/epoch_mark.h"
 
 namespace gullward {
 
-void EpochMarker::OnRecord(const std::string& value) {
-  this->marked = DecodeEpochMark(value);
-  if (this->marked) this->recovery->returns().Settle(*this->marked);
+void SettledEpochWriter::OnRecord(const std::string& value) {
+  this->stored_epoch = DecodeEpochMark(value);
+  if (this->stored_epoch) this->recovery->returns().Settle(*this->stored_epoch);
 }
 
-void EpochMarker::Tick(Time now) {
+void SettledEpochWriter::Tick(Time now) {
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   std::optional<uint64_t> current = epoch.current();
-  bool is_wanted = current && epoch.IsSettledFor(now) && this->marked != current;
+  bool is_wanted = current && epoch.IsSettledFor(now) && this->stored_epoch != current;
   if (!is_wanted) {
     this->due.reset();
     return;
   }
   if (!this->due) {
-    std::uniform_int_distribution<int64_t> draw(0, kSpread.count());
+    std::uniform_int_distribution<int64_t> draw(0, kWriteSpread.count());
     this->due = now + Duration(draw(this->random));
   }
   if (now >= *this->due && !this->is_busy) this->Write(*current);
 }
 
-void EpochMarker::Write(uint64_t epoch) {
+void SettledEpochWriter::Write(uint64_t epoch) {
   this->is_busy = true;
   platform::KeyedRecord record{std::string(kEpochMarkKey), EncodeEpochMark(epoch)};
   this->client.Call(platform::AppendKeyed(platform::kPeersTopic, record),
-                    StoreClient::kAnswerPatience, [this, epoch](const StoreAnswer& answer) {
+                    StoreClient::kAnswerTimeout, [this, epoch](const StoreAnswer& answer) {
                       if (!answer.ok()) {
-                        this->recovery->Wait([this] { this->is_busy = false; });
+                        this->recovery->RetryLater([this] { this->is_busy = false; });
                         return;
                       }
                       this->is_busy = false;
-                      this->recovery->NoteAnswer();
+                      this->recovery->OnCallSucceeded();
                       // One written after the next return is wrong, and is written anew.
-                      if (answer.epoch == epoch) this->marked = epoch;
+                      if (answer.epoch == epoch) this->stored_epoch = epoch;
                     });
 }
 
--- a/src/gateway/epoch_marker.h
+++ b/src/gateway/settled_epoch_writer.h
@@ -9,8 +9,8 @@
 //   marker.OnRecord(value);                        // the topic's word
 //   marker.Tick(now);                              // a few times a second
 
-#ifndef GULLWARD_GATEWAY_EPOCH_MARKER_H_
-#define GULLWARD_GATEWAY_EPOCH_MARKER_H_
+#ifndef GULLWARD_GATEWAY_SETTLED_EPOCH_WRITER_H_
+#define GULLWARD_GATEWAY_SETTLED_EPOCH_WRITER_H_
 
 #include <optional>
 #include <random>
@@ -21,14 +21,14 @@
 
 namespace gullward {
 
-class EpochMarker {
+class SettledEpochWriter {
  public:
   // Over which gateways spread.  The topic's news takes two seconds, so of 300 gateways some
   // twenty write, and one or two of thirty.
-  static constexpr Duration kSpread = seconds(30);
+  static constexpr Duration kWriteSpread = seconds(30);
 
-  EpochMarker(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
-              uint64_t seed)
+  SettledEpochWriter(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
+                     uint64_t seed)
       : client(event_loop, std::move(store), &store_recovery->returns()),
         recovery(store_recovery),
         random(seed) {}
@@ -48,7 +48,7 @@
   StoreRecovery* recovery;
   std::mt19937_64 random;
   // The epoch that the topic's mark names.
-  std::optional<uint64_t> marked;
+  std::optional<uint64_t> stored_epoch;
   // Set while we would write.
   std::optional<Time> due;
   bool is_busy = false;
@@ -56,4 +56,4 @@
 
 }  // namespace gullward
 
-#endif  // GULLWARD_GATEWAY_EPOCH_MARKER_H_
+#endif  // GULLWARD_GATEWAY_SETTLED_EPOCH_WRITER_H_
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -12,8 +12,8 @@
   bool usable = this->channel && this->channel->reusable();
   if (!usable) this->channel = RequestChannel::Open(this->loop, this->address);
   this->incoming = {};
-  this->sent_at = this->heard_at = Now();
-  this->waiting = std::move(done);
+  this->sent_at = this->last_progress = Now();
+  this->pending = std::move(done);
   uint64_t number = ++this->call_count;
 
   std::string request = absl::StrCat(call.method, " ", call.target,
@@ -25,12 +25,12 @@
 
   RequestChannel::Hooks hooks;
   hooks.head = [this](const ResponseHead& head) {
-    this->heard_at = Now();
+    this->last_progress = Now();
     this->incoming.status = head.status;
     this->incoming.epoch = platform::EpochOf(head.headers);
   };
   hooks.body = [this](std::string_view bytes) {
-    this->heard_at = Now();
+    this->last_progress = Now();
     this->incoming.body.append(bytes);
   };
   hooks.done = [this, number](ChannelResult result) {
@@ -43,16 +43,17 @@
     }
   };
   this->channel->Send(request, std::move(hooks), /*is_head=*/false);
-  this->EndWhenOverdue(number, patience);
+  this->ScheduleTimeout(number, patience);
 }
 
-void StoreClient::EndWhenOverdue(uint64_t number, Duration after) {
+void StoreClient::ScheduleTimeout(uint64_t number, Duration after) {
   this->loop->RunAfter(after, [this, number] {
-    bool under_way = number == this->call_count && this->waiting;
+    bool under_way = number == this->call_count && this->pending;
     if (!under_way) return;
-    bool is_coming = this->incoming.status != 0 && this->SilentFor(Now()) < kStillComing;
+    bool is_coming =
+        this->incoming.status != 0 && this->TimeSinceProgress(Now()) < kProgressTimeout;
     if (is_coming) {
-      this->EndWhenOverdue(number, kStillComing);
+      this->ScheduleTimeout(number, kProgressTimeout);
       return;
     }
     this->Finish(number, {0, "", "overdue", std::nullopt});
@@ -62,32 +63,33 @@
 // Whoever stands before the store and turns calls away need not know of epochs.
 bool StoreClient::IsUsable(const StoreAnswer& answer) {
   bool tells = answer.epoch || answer.ok() || answer.status == platform::kRecordsGone;
-  return this->returns == nullptr || !tells || this->returns->Note(answer.epoch, this->sent_at);
+  return this->returns == nullptr || !tells ||
+         this->returns->RecordEpoch(answer.epoch, this->sent_at);
 }
 
-void StoreClient::MoveTo(SocketAddress next) {
+void StoreClient::SetAddress(SocketAddress next) {
   if (next == this->address) return;
-  this->Drop();
+  this->Cancel();
   this->address = std::move(next);
 }
 
-void StoreClient::Drop() {
-  this->waiting = nullptr;
+void StoreClient::Cancel() {
+  this->pending = nullptr;
   if (this->channel) this->channel->Close();
   this->channel.reset();
 }
 
-Duration StoreClient::SilentFor(Time now) const {
-  return this->waiting ? now - this->heard_at : Duration(0);
+Duration StoreClient::TimeSinceProgress(Time now) const {
+  return this->pending ? now - this->last_progress : Duration(0);
 }
 
 void StoreClient::Finish(uint64_t number, const StoreAnswer& answer) {
-  if (number != this->call_count || !this->waiting) return;
+  if (number != this->call_count || !this->pending) return;
   if (answer.status == 0) {
     this->channel->Close();
     this->channel.reset();
   }
-  Done done = std::exchange(this->waiting, nullptr);
+  Done done = std::exchange(this->pending, nullptr);
   done(answer);
 }
 
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -40,10 +40,10 @@
  public:
   // The store answers in milliseconds, a slow one in a few hundred; after this long a
   // call counts as lost and another try is due.  Waiting on purpose comes on top.
-  static constexpr Duration kAnswerPatience = milliseconds(1000);
+  static constexpr Duration kAnswerTimeout = milliseconds(1000);
   // A call whose answer is still coming in is not overdue: a large configuration takes
   // longer than that on a thin link.  Bytes come at least so often there.
-  static constexpr Duration kStillComing = milliseconds(400);
+  static constexpr Duration kProgressTimeout = milliseconds(400);
 
   using Done = std::function<void(const StoreAnswer&)>;
 
@@ -55,21 +55,21 @@
   void Call(const platform::HttpCallText& call, Duration patience, Done done);
 
   // For how long nothing has come for the call under way; none where there is no call.
-  Duration SilentFor(Time now) const;
+  Duration TimeSinceProgress(Time now) const;
 
   // Drops the call under way: it gets no answer, and the next one a new connection.
-  void Drop();
+  void Cancel();
 
   // The next calls go to another server.  Only where no call is under way.
-  void MoveTo(SocketAddress next);
+  void SetAddress(SocketAddress next);
 
   // Whether a call is under way.
-  bool is_busy() const { return this->waiting != nullptr; }
+  bool is_busy() const { return this->pending != nullptr; }
 
   uint64_t calls() const { return this->call_count; }
 
  private:
-  void EndWhenOverdue(uint64_t number, Duration after);
+  void ScheduleTimeout(uint64_t number, Duration after);
   bool IsUsable(const StoreAnswer& answer);
   void Finish(uint64_t number, const StoreAnswer& answer);
 
@@ -81,8 +81,8 @@
   StoreAnswer incoming;
   Time sent_at{};
   // When the call was sent, then when bytes last came for it.
-  Time heard_at{};
-  Done waiting;
+  Time last_progress{};
+  Done pending;
 };
 
 }  // namespace gullward
--- a/src/gateway/store_recovery.cc
+++ b/src/gateway/store_recovery.cc
@@ -7,12 +7,12 @@
 
 namespace gullward {
 
-void StoreRecovery::Wait(std::function<void()> retry) {
+void StoreRecovery::RetryLater(std::function<void()> retry) {
   this->waiting.push_back(std::move(retry));
   this->StartPause();
 }
 
-void StoreRecovery::NoteAnswer() {
+void StoreRecovery::OnCallSucceeded() {
   this->next_pause = kFirstPause;
   std::deque<std::function<void()>> all = std::exchange(this->waiting, {});
   for (const std::function<void()>& retry : all) retry();
@@ -22,7 +22,7 @@
   if (this->pausing || this->waiting.empty()) return;
   this->pausing = true;
   Duration pause = this->next_pause;
-  this->next_pause = std::min(2 * pause, kLongestPause);
+  this->next_pause = std::min(2 * pause, kMaxPause);
   this->loop->RunAfter(pause, [this] {
     this->pausing = false;
     this->TryNext();
--- a/src/gateway/store_recovery.h
+++ b/src/gateway/store_recovery.h
@@ -30,15 +30,15 @@
   // Pauses double from the first to the longest: the end of an outage of seconds
   // must be noticed within a fraction of a second.
   static constexpr Duration kFirstPause = milliseconds(100);
-  static constexpr Duration kLongestPause = milliseconds(400);
+  static constexpr Duration kMaxPause = milliseconds(400);
 
   explicit StoreRecovery(EventLoop* event_loop) : loop(event_loop), returns_seen(event_loop) {}
 
   // The caller's own call has failed: it may try again when `retry` is called.
-  void Wait(std::function<void()> retry);
+  void RetryLater(std::function<void()> retry);
 
   // A call has worked: all who wait try at once.
-  void NoteAnswer();
+  void OnCallSucceeded();
 
   StoreReturns& returns() { return this->returns_seen; }
   const StoreReturns& returns() const { return this->returns_seen; }
--- a/src/gateway/store_returns.h
+++ b/src/gateway/store_returns.h
@@ -31,9 +31,9 @@
 
   // Takes the epoch that an answer tells to a call sent at `sent`.  Whether the answer may be
   // used: not where it is from before a return that is known.
-  bool Note(std::optional<uint64_t> told, Time sent) {
+  bool RecordEpoch(std::optional<uint64_t> told, Time sent) {
     StoreEpoch::Standing standing = this->state.Hear(told, sent, Now());
-    if (standing == StoreEpoch::Standing::kReturned) this->TellListeners();
+    if (standing == StoreEpoch::Standing::kReturned) this->NotifyListeners();
     return standing != StoreEpoch::Standing::kOutdated;
   }
 
@@ -43,7 +43,7 @@
   const StoreEpoch& epoch() const { return this->state; }
 
  private:
-  void TellListeners() {
+  void NotifyListeners() {
     this->loop->RunAfter(Duration(0), [this] {
       for (const std::function<void()>& listener : this->listeners) listener();
     });
--- a/src/gateway/testing/catch_up_test.cc
+++ b/src/gateway/testing/catch_up_test.cc
@@ -173,15 +173,15 @@
   StoreStandin store(&loop);
   StoreRecovery recovery(&loop);
   bool is_behind = false;
-  ConfigProver prover(&loop, store.address(), &recovery, kConfigTopic, seconds(5), /*seed=*/1,
-                      {.position = [] { return std::optional<uint64_t>(0); },
-                       .proved =
-                           [](Time) {
-                             BOOST_ERROR("proved without the news");
-                             return true;
-                           },
-                       .pace_changed = [](bool, Duration) {},
-                       .behind = [&] { is_behind = true; }});
+  ConfigRevalidator prover(&loop, store.address(), &recovery, kConfigTopic, seconds(5), /*seed=*/1,
+                           {.position = [] { return std::optional<uint64_t>(0); },
+                            .validated =
+                                [](Time) {
+                                  BOOST_ERROR("proved without the news");
+                                  return true;
+                                },
+                            .speed_changed = [](bool, Duration) {},
+                            .behind = [&] { is_behind = true; }});
   for (int version = 0; version < kMissed; ++version) {
     store.Put(kConfigTopic, kConfigKey, std::string(kVersionBytes, 'x'));
   }
--- a/src/gateway/testing/engine_leaving_test.cc
+++ b/src/gateway/testing/engine_leaving_test.cc
@@ -212,7 +212,7 @@
   FullListener full(&world->loop);
   EngineRecord stuck{"app-9", "app", full.address(), "hall-1", 16, false};
   world->store.Put("keyed.servers", stuck.id, platform::EngineDocument(stuck));
-  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->Knows(stuck.id); }));
+  BOOST_REQUIRE(world->RunUntil([&] { return world->gateway->HasEngine(stuck.id); }));
   // The second finds the first at the engine that was chosen for it.
   auto one = world->Send(world->OnceRequest("one"));
   auto other = world->Send(world->OnceRequest("other"));
--- a/src/gateway/testing/gateway_test.cc
+++ b/src/gateway/testing/gateway_test.cc
@@ -346,13 +346,13 @@
       return;
     }
     tries[who] += 1;
-    recovery.Wait([&try_once, who] { try_once(who); });
+    recovery.RetryLater([&try_once, who] { try_once(who); });
   };
   for (size_t who = 0; who < tries.size(); ++who) try_once(who);
   std::fill(tries.begin(), tries.end(), 0);
   loop.RunAfter(milliseconds(2000), [&] {
     answering = true;
-    recovery.NoteAnswer();
+    recovery.OnCallSucceeded();
     loop.Stop();
   });
   loop.Run();
@@ -385,7 +385,7 @@
     this->follower.Start();
     while (!this->loaded) this->loop.RunOnce(milliseconds(20));
     this->loop.RunEvery(milliseconds(100), [this] {
-      if (this->follower.ReadAgain()) this->renewals += 1;
+      if (this->follower.RestartStalledRead()) this->renewals += 1;
     });
   }
 
--- a/src/gateway/testing/store_return_test.cc
+++ b/src/gateway/testing/store_return_test.cc
@@ -345,7 +345,7 @@
   world.watch->OnRecord(kContent, WatchedStore::Entry(), now);
   BOOST_TEST(world.watch->RefusedFor(kContent, now).has_value());
   world.watch->OnStoreReturn(now);
-  Time all_drawn = now + QuarantineStore::kOthersWait + QuarantineStore::kOthersSpread;
+  Time all_drawn = now + QuarantineStore::kNonWitnessDelay + QuarantineStore::kNonWitnessSpread;
   world.watch->TickSlowly(all_drawn + seconds(1));
   Time until = Now() + kTestPatience;
   while (world.store.appended(kOwnTopic) == 0 && Now() < until) {
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -45,7 +45,7 @@
   this->pages.clear();
   // One that pauses, or waits for the store to answer, goes on with the pages by itself.
   if (!this->client.is_busy()) return;
-  this->client.Drop();
+  this->client.Cancel();
   bool waits = this->hooks.pause_after_return != nullptr;
   this->ReadOnAfter(waits ? this->hooks.pause_after_return() : Duration(0));
 }
@@ -53,24 +53,24 @@
 void TopicFollower::ReadOnAfter(Duration pause) {
   this->loop->RunAfter(pause, [this] {
     if (this->loaded) {
-      this->WaitForNews();
+      this->WaitForChanges();
     } else {
       this->ReadPage();
     }
   });
 }
 
-bool TopicFollower::ReadAgain() {
-  if (this->client.SilentFor(Now()) < this->silence_limit) return false;
-  this->silence_limit = std::min(2 * this->silence_limit, kLongestSilence);
-  this->client.Drop();
+bool TopicFollower::RestartStalledRead() {
+  if (this->client.TimeSinceProgress(Now()) < this->silence_limit) return false;
+  this->silence_limit = std::min(2 * this->silence_limit, kMaxSilenceLimit);
+  this->client.Cancel();
   this->ReadOn();
   return true;
 }
 
 void TopicFollower::ReadOn() {
   if (this->loaded) {
-    this->ReadTail(/*wait=*/Duration(0), kGlanceKb);
+    this->ReadTail(/*wait=*/Duration(0), kProbeKb);
   } else {
     this->ReadPage();
   }
@@ -86,7 +86,7 @@
   std::string after = this->pages.empty() ? "" : this->pages.back().key;
   this->call_sent = Now();
   if (after.empty()) this->pages_sent = this->call_sent;
-  this->client.Call(platform::NewestOfEachKey(this->options.topic, after), this->page_patience,
+  this->client.Call(platform::NewestOfEachKey(this->options.topic, after), this->page_timeout,
                     [this](const StoreAnswer& answer) { this->OnPage(answer); });
 }
 
@@ -94,7 +94,7 @@
   if (!answer.ok()) {
     bool came_late = answer.status == 0;
     if (came_late) {
-      this->page_patience = std::min(2 * this->page_patience, kMostPagePatience);
+      this->page_timeout = std::min(2 * this->page_timeout, kMaxPageTimeout);
     }
     this->Fail(ReasonOf(answer));
     return;
@@ -105,7 +105,7 @@
     return;
   }
   bool is_first = this->pages.empty();
-  if (!is_first && !this->IsOfThisEpoch(answer)) {
+  if (!is_first && !this->IsCurrentEpoch(answer)) {
     this->epoch = answer.epoch;
     this->ReadPages();
     return;
@@ -114,32 +114,32 @@
   this->Succeed();
   // Pages are no snapshot: what changes between them is read again from the
   // first page's end on.
-  this->page_patience = StoreClient::kAnswerPatience;
+  this->page_timeout = StoreClient::kAnswerTimeout;
   if (is_first) this->next_offset = page->end;
-  this->TellUnreadable(page->unreadable);
+  this->ReportUnreadable(page->unreadable);
   for (platform::KeyedRecord& record : page->records) this->pages.push_back(std::move(record));
   if (page->more && !page->records.empty()) {
     this->ReadPage();
     return;
   }
   this->loaded = true;
-  this->keys = this->pages.size();
+  this->key_count = this->pages.size();
   this->hooks.replace(std::exchange(this->pages, {}));
   if (this->hooks.up_to_date) this->hooks.up_to_date(this->pages_sent);
-  this->WaitForNews();
+  this->WaitForChanges();
 }
 
-void TopicFollower::WaitForNews() { this->ReadTail(this->options.wait, kMostHistoryKb); }
+void TopicFollower::WaitForChanges() { this->ReadTail(this->options.wait, kMaxHistoryKb); }
 
 void TopicFollower::ReadTail(Duration wait, size_t most_kb) {
   this->call_sent = Now();
   this->client.Call(platform::ReadFrom(this->options.topic, this->next_offset, wait, most_kb),
-                    wait + StoreClient::kAnswerPatience,
+                    wait + StoreClient::kAnswerTimeout,
                     [this](const StoreAnswer& answer) { this->OnTail(answer); });
 }
 
 void TopicFollower::OnTail(const StoreAnswer& answer) {
-  bool has_place = this->IsOfThisEpoch(answer) && answer.status != platform::kRecordsGone;
+  bool has_place = this->IsCurrentEpoch(answer) && answer.status != platform::kRecordsGone;
   bool came = answer.ok() || answer.status == platform::kRecordsGone;
   if (came && !has_place) {
     this->epoch = answer.epoch;
@@ -162,12 +162,12 @@
     this->OnShortTail(*tail);
     return;
   }
-  this->TellChanges(*tail);
+  this->DeliverChanges(*tail);
   if (this->hooks.up_to_date) this->hooks.up_to_date(sent);
-  if (tail->records.empty() || this->options.gather.count() == 0) {
-    this->WaitForNews();
+  if (tail->records.empty() || this->options.batch_delay.count() == 0) {
+    this->WaitForChanges();
   } else {
-    this->ReadOnAfter(this->options.gather);
+    this->ReadOnAfter(this->options.batch_delay);
   }
 }
 
@@ -175,31 +175,31 @@
 void TopicFollower::OnShortTail(const platform::KeyedTail& tail) {
   uint64_t read_to = this->next_offset + tail.records.size();
   if (this->hooks.read_short) this->hooks.read_short(read_to, tail.end);
-  bool newest_is_less = tail.records.empty() || tail.end - read_to > this->keys;
+  bool newest_is_less = tail.records.empty() || tail.end - read_to > this->key_count;
   if (newest_is_less) {
     this->ReadPages();
     return;
   }
-  this->TellChanges(tail);
-  this->WaitForNews();
+  this->DeliverChanges(tail);
+  this->WaitForChanges();
 }
 
-void TopicFollower::TellChanges(const platform::KeyedTail& tail) {
+void TopicFollower::DeliverChanges(const platform::KeyedTail& tail) {
   this->next_offset += tail.records.size();
-  this->TellUnreadable(tail.unreadable);
+  this->ReportUnreadable(tail.unreadable);
   for (const platform::KeyedRecord& record : tail.records) {
     // What has no key says nothing of any.
     if (!record.key.empty()) this->hooks.change(record);
   }
 }
 
-void TopicFollower::TellUnreadable(size_t records) {
+void TopicFollower::ReportUnreadable(size_t records) {
   if (records > 0 && this->hooks.unreadable) this->hooks.unreadable(records);
 }
 
 void TopicFollower::Succeed() {
-  this->recovery->NoteAnswer();
-  this->silence_limit = kNewsShouldHaveCome;
+  this->recovery->OnCallSucceeded();
+  this->silence_limit = kMaxUpdateDelay;
   if (!this->is_lost) return;
   this->is_lost = false;
   this->regained = Now();
@@ -209,7 +209,7 @@
 void TopicFollower::Fail(const std::string& reason) {
   bool first = !std::exchange(this->is_lost, true);
   if (first && this->hooks.lost) this->hooks.lost(reason);
-  this->recovery->Wait([this] { this->ReadOn(); });
+  this->recovery->RetryLater([this] { this->ReadOn(); });
 }
 
 }  // namespace gullward
--- a/src/gateway/topic_follower.h
+++ b/src/gateway/topic_follower.h
@@ -40,18 +40,18 @@
  public:
   // News that somebody else has seen comes by our own read within a fraction of a
   // second, or that read hangs.
-  static constexpr Duration kNewsShouldHaveCome = milliseconds(400);
+  static constexpr Duration kMaxUpdateDelay = milliseconds(400);
   // The longest time that a new read gets; news must be in force within two seconds.
-  static constexpr Duration kLongestSilence = milliseconds(1600);
+  static constexpr Duration kMaxSilenceLimit = milliseconds(1600);
   // A page that has not come in time is asked for again with twice the patience, up to
   // this: where a whole fleet starts at once, pages come late since everybody asks, and
   // giving each up after a second left 300 gateways without the list of 3,000 engines for
   // 30 s.
-  static constexpr Duration kMostPagePatience = seconds(8);
+  static constexpr Duration kMaxPageTimeout = seconds(8);
   // What an answer may hold of the history: a tenth of a second on a link of 20 Mbit/s.
-  static constexpr size_t kMostHistoryKb = 256;
+  static constexpr size_t kMaxHistoryKb = 256;
   // The least that can be asked for: the answer tells where the log ends.
-  static constexpr size_t kGlanceKb = 1;
+  static constexpr size_t kProbeKb = 1;
 
   struct Options {
     std::string topic;
@@ -61,7 +61,7 @@
     Duration wait = seconds(2);
     // After a change, how long to wait for more of them before reading on: a
     // burst of changes then costs a few reads rather than one each.
-    Duration gather = milliseconds(0);
+    Duration batch_delay = milliseconds(0);
   };
   struct Hooks {
     // All records, after the pages have been read.
@@ -95,7 +95,7 @@
   // gets twice the time of the one before: where the store or the link is slow, giving
   // up too soon would throw away every read before it is whole.  Tells whether it did;
   // the store does not count as lost by it.
-  bool ReadAgain();
+  bool RestartStalledRead();
 
   // When a call first succeeded after failures; in the past where none failed.
   Time regained_at() const { return this->regained; }
@@ -113,13 +113,13 @@
   void ReadPages();
   void ReadPage();
   void ReadTail(Duration wait, size_t most_kb);
-  void WaitForNews();
-  bool IsOfThisEpoch(const StoreAnswer& answer) const { return answer.epoch == this->epoch; }
+  void WaitForChanges();
+  bool IsCurrentEpoch(const StoreAnswer& answer) const { return answer.epoch == this->epoch; }
   void OnPage(const StoreAnswer& answer);
   void OnTail(const StoreAnswer& answer);
   void OnShortTail(const platform::KeyedTail& tail);
-  void TellChanges(const platform::KeyedTail& tail);
-  void TellUnreadable(size_t records);
+  void DeliverChanges(const platform::KeyedTail& tail);
+  void ReportUnreadable(size_t records);
   void Succeed();
   void Fail(const std::string& reason);
 
@@ -130,20 +130,20 @@
   Hooks hooks;
   // Those that have come; reading goes on after them when it has failed.
   std::vector<platform::KeyedRecord> pages;
-  Duration page_patience = StoreClient::kAnswerPatience;
+  Duration page_timeout = StoreClient::kAnswerTimeout;
   Time pages_sent{};
   // That of the pages, and of all that has been read since.
   std::optional<uint64_t> epoch;
   bool started = false;
   bool loaded = false;
   // How many keys the topic had when its pages were last read.
-  size_t keys = 0;
+  size_t key_count = 0;
   uint64_t next_offset = 0;
   Time call_sent{};
   // Whether the last call failed and none has succeeded since.
   bool is_lost = false;
   // How long a read may bring nothing before ReadAgain gives it up.
-  Duration silence_limit = kNewsShouldHaveCome;
+  Duration silence_limit = kMaxUpdateDelay;
   Time regained{};
 };
 
