--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -102,7 +102,7 @@
   // Items of gossip that were dropped because the queue was full.
   uint64_t gossip_dropped() const { return this->shared.news_dropped(); }
   // Quarantine entries for which the store topic had no room.
-  uint64_t unstored_entries() const { return this->quarantine_store.unkept(); }
+  uint64_t unstored_entries() const { return this->quarantine_store.dropped_entries(); }
   const Quarantine& quarantine() const { return this->shared.contents(); }
 
  private:
--- a/src/gateway/testing/gateway_test.cc
+++ b/src/gateway/testing/gateway_test.cc
@@ -347,13 +347,13 @@
       return;
     }
     tries[who] += 1;
-    recovery.Wait([&try_once, who] { try_once(who); });
+    recovery.RetryLater([&try_once, who] { try_once(who); });
   };
   for (size_t who = 0; who < tries.size(); ++who) try_once(who);
   std::fill(tries.begin(), tries.end(), 0);
   loop.RunAfter(milliseconds(2000), [&] {
     answering = true;
-    recovery.NoteAnswer();
+    recovery.OnCallSucceeded();
     loop.Stop();
   });
   loop.Run();
@@ -387,7 +387,7 @@
     this->follower.Start();
     while (!this->loaded) this->loop.RunOnce(milliseconds(20));
     this->loop.RunEvery(milliseconds(100), [this] {
-      if (this->follower.ReadAgain()) this->renewals += 1;
+      if (this->follower.RestartStalledRead()) this->renewals += 1;
     });
   }
 
