--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -63,7 +63,7 @@
     this->Refuse(ResultCode::kQuarantined, wait);
     return;
   }
-  this->state->fleet.RetriesOf(this->service->name)
+  this->state->fleet.RetryBucketOf(this->service->name)
       .AddRequest(this->state->loop->caught_up_at(), now);
   this->StartAttempt(now);
 }
@@ -77,10 +77,10 @@
   demand.objective_ms = ToSeconds(route.objective) * 1000;
   demand.pause_ms = ToSeconds(route.longest_pause) * 1000;
   Duration patience = this->admission.caller_waits_until - this->request.arrived;
-  demand.came_back = patience < kFirstTryShare * route.timeout;
+  demand.was_refused_before = patience < kFirstTryShare * route.timeout;
   CrashWatch& watch = *this->state->crash_watch;
   bool is_suspect = this->broke_off || (watch.knows_any() && watch.IsSuspect(this->Content()));
-  if (is_suspect) demand.scatter_by = this->Content();
+  if (is_suspect) demand.scatter_hash = this->Content();
   return demand;
 }
 
@@ -247,12 +247,12 @@
   const Route& route = *this->admission.route;
   bool late = this->times.IsLate(route, this->times.FirstAfter(route, Now()));
   if (!late || !this->state->fleet.mechanisms().spare_late_streams) return;
-  this->state->fleet.loads().AnswerIsLate(this->id);
+  this->state->fleet.loads().MarkAnswerLate(this->id);
 }
 
 void Exchange::NoteFirstEvent() {
   this->attempt->any_event = true;
-  this->state->fleet.loads().FirstEvent(this->id);
+  this->state->fleet.loads().MarkFirstEvent(this->id);
 }
 
 void Exchange::PassBody(std::string_view bytes) {
@@ -288,7 +288,7 @@
   if (result != ChannelResult::kWholeAnswer) return AttemptResult::kUnknown;
   bool torn = this->attempt->verdict == AttemptResult::kSuccess &&
               this->admission.route->streaming &&
-              (this->attempt->events.has_rest() || !this->answer_begun);
+              (this->attempt->events.has_partial_event() || !this->answer_begun);
   return torn ? AttemptResult::kUnknown : this->attempt->verdict;
 }
 
@@ -332,7 +332,7 @@
     fleet.HealthOf(engine).AddSuccess(now);
   } else if (result == AttemptResult::kWrongEngine) {
     this->state->log->Write(this->Line("engine_replaced").Text("engine", engine));
-    fleet.directory().Forget(this->attempt->engine);
+    fleet.directory().RemoveIncarnation(this->attempt->engine);
   } else {
     // Answers of failure count too: an engine that fails at once is always idle, and
     // would draw everybody's requests.
@@ -364,13 +364,13 @@
   RequestState decision = this->StateForDecision(now);
   NextStep step = DecideNext(result, decision);
   bool nobody_left = this->state->fleet.AllHoldBack(*this->service, now);
-  if (step == NextStep::kRetry && nobody_left) step = WithoutRetry(result, decision);
+  if (step == NextStep::kRetry && nobody_left) step = DecideWithoutRetry(result, decision);
   if (step == NextStep::kRetry && this->MayEndAnother(now)) {
-    this->FollowEnginesEnded(WithoutRetry(result, decision), result);
+    this->FollowEnginesEnded(DecideWithoutRetry(result, decision), result);
     return;
   }
   if (step == NextStep::kRetry) {
-    if (this->state->fleet.RetriesOf(this->service->name).TakeRetry(now)) {
+    if (this->state->fleet.RetryBucketOf(this->service->name).TakeRetry(now)) {
       this->state->counters.retries += 1;
       this->state->log->Write(this->Line("retry")
                                   .Text("engine", this->attempt->engine.Incarnation())
@@ -381,14 +381,14 @@
       return;
     }
     this->state->counters.retries_denied += 1;
-    step = WithoutRetry(result, decision);
+    step = DecideWithoutRetry(result, decision);
   }
   this->Follow(step, result);
 }
 
 // What follows where no attempt can be sent now.
 void Exchange::FollowUnsent(Time now) {
-  this->Follow(WithoutRetry(AttemptResult::kNotRun, this->StateForDecision(now)),
+  this->Follow(DecideWithoutRetry(AttemptResult::kNotRun, this->StateForDecision(now)),
                AttemptResult::kNotRun);
 }
 
@@ -420,7 +420,7 @@
   Fleet& fleet = this->state->fleet;
   bool held_back = fleet.AllHoldBack(*this->service, now);
   std::optional<Duration> opens;
-  if (held_back) opens = fleet.OpensIn(*this->service, now);
+  if (held_back) opens = fleet.TimeUntilAdmission(*this->service, now);
   ResultCode unasked = held_back ? ResultCode::kEnginesHoldBack : ResultCode::kNoEndpoint;
   this->Refuse(this->attempts == 0 ? unasked : ResultCode::kEnginesRefused, opens);
 }
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -39,12 +39,12 @@
 void Exchange::LogOverload(const Placement& placement, const Demand& demand) {
   this->state->log->Write(this->Line("overload_inputs")
                               .Number("prompt_tokens", demand.prompt_tokens)
-                              .Number("came_back", demand.came_back ? 1 : 0)
+                              .Number("came_back", demand.was_refused_before ? 1 : 0)
                               .Number("readers", static_cast<double>(placement.engines.size()))
                               .Number("expected_first_ms", placement.first_event_ms)
                               .Number("slot_wait_ms", placement.slot_wait_ms)
-                              .Number("harm", placement.harm)
-                              .Number("busy", placement.busy)
+                              .Number("harm", placement.cost_to_streams)
+                              .Number("busy", placement.utilization)
                               .Number("engine_seconds", placement.engine_seconds));
 }
 
@@ -67,7 +67,7 @@
           .Number("spilled", choice.spilled ? 1 : 0)
           .Number("prompt_tokens", this->facts.prompt_tokens)
           .Number("engine_requests", choice.load.requests)
-          .Number("engine_reading_ms", choice.load.ToReadMs())
+          .Number("engine_reading_ms", choice.load.RemainingReadingMs())
           .Number("expected_first_ms", choice.placement.first_event_ms)
           .Number("config", static_cast<double>(this->config->config().version)));
 }
--- a/src/gateway/exchange_timeouts.cc
+++ b/src/gateway/exchange_timeouts.cc
@@ -6,7 +6,7 @@
 // connection is withdrawn where its engine leaves or wants a pause meanwhile.
 
 #include "gateway/exchange.h"
-#include "serving/engine_patience.h"
+#include "serving/silence_timeout.h"
 
 namespace gullward {
 
@@ -38,16 +38,16 @@
   double expected_ms = this->ExpectedSilenceMs();
   bool is_first = this->service->runs_models && !this->attempt->any_event;
   bool waits_for_late = this->state->fleet.mechanisms().wait_for_late_first;
-  if (!is_first || !waits_for_late) return PatienceWith(expected_ms);
-  return PatienceForFirst(expected_ms, ToSeconds(this->admission.route->objective) * 1000);
+  if (!is_first || !waits_for_late) return SilenceTimeout(expected_ms);
+  return FirstEventTimeout(expected_ms, ToSeconds(this->admission.route->objective) * 1000);
 }
 
 bool Exchange::IsTooSilent(Time now) const {
   Duration silent = now - this->attempt->last_progress;
   if (silent < this->Patience()) return false;
   const EngineRecord& engine = this->attempt->engine;
-  EngineLoad load = this->state->fleet.loads().Of(engine.Incarnation(), now);
-  return !ExcusesSilence(load, engine.slots, silent);
+  EngineLoad load = this->state->fleet.loads().LoadOn(engine.Incarnation(), now);
+  return !LoadExplainsSilence(load, engine.slots, silent);
 }
 
 // Whether the request could be sent again if the attempt under way ended now, perhaps
@@ -57,7 +57,7 @@
   RequestState decision = this->StateForDecision(now);
   decision.attempts_run += 1;
   if (DecideNext(AttemptResult::kUnknown, decision) != NextStep::kRetry) return false;
-  return this->state->fleet.RetriesOf(this->service->name).Left(now) >= 1;
+  return this->state->fleet.RetryBucketOf(this->service->name).Available(now) >= 1;
 }
 
 void Exchange::LeaveSilentEngine(Time now) {
@@ -73,7 +73,7 @@
 // Whether the attempt waits for a connection to an engine that wants nothing any more.
 bool Exchange::IsInVain(Time now) const {
   return this->attempt->channel->is_connecting() &&
-         !this->state->fleet.MayStillGo(this->attempt->engine, now);
+         !this->state->fleet.ShouldKeepWaiting(this->attempt->engine, now);
 }
 
 // Nothing has been sent yet, so nothing has run.
--- a/src/gateway/gateway_engine_list.cc
+++ b/src/gateway/gateway_engine_list.cc
@@ -99,7 +99,7 @@
   if (epoch.IsSettledFor(now)) {
     this->state.fleet.directory().Replace(engines, now, this->KeepLapsedUntil());
   } else {
-    this->state.fleet.directory().ReplaceByOlder(engines, now, epoch.settled_at());
+    this->state.fleet.directory().ReplaceFromStaleList(engines, now, epoch.settled_at());
   }
   this->engines_known = true;
   this->engine_list_changed = true;
@@ -109,7 +109,7 @@
 // The line by which operators see why work of before has failed.
 void GatewayServer::NoteRestart(const EngineRecord& engine) {
   const EngineRecord* known = this->state.fleet.directory().Find(engine.id);
-  if (known == nullptr || known->born >= engine.born) return;
+  if (known == nullptr || known->started_at_ms >= engine.started_at_ms) return;
   this->state.counters.engine_restarts += 1;
   this->log.Write(LogLine("engine_restarted")
                       .Text("engine", engine.Incarnation())
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -287,7 +287,7 @@
 
 void GatewayServer::TickFleet(Time now) {
   size_t peers = this->load_exchange.peers();
-  if (peers > 0) this->state.fleet.SetProcesses(peers + 1);
+  if (peers > 0) this->state.fleet.SetProcessCount(peers + 1);
   this->engine_follower.SetWait(this->DrawEngineListWait());
   this->state.pool.Tick(now);
   this->state.fleet.ForgetUnlisted(now);
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -51,7 +51,7 @@
   bool IsReady() const;
 
   // The engines that this process has set aside by its own experience.
-  std::set<std::string> SetAside() const { return this->state.fleet.SetAside(Now()); }
+  std::set<std::string> SetAside() const { return this->state.fleet.SetAsideEngines(Now()); }
 
   // Where callers connect; of the kernel's choice if the settings say port 0.
   uint16_t callers_port() const { return this->callers_listener.port(); }
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -135,10 +135,11 @@
   this->HearNotices(*digest, now);
   this->HearOfStore(*digest);
   if (digest->is_offer) {
-    this->fleet->HearOffer(digest->box, digest->incarnation, digest->sequence, digest->loads, now);
+    this->fleet->ReceiveOffer(digest->box, digest->incarnation, digest->sequence, digest->loads,
+                              now);
     return;
   }
-  this->fleet->HearSetAside(digest->box, digest->set_aside, now);
+  this->fleet->ReceiveSetAside(digest->box, digest->set_aside, now);
   if (!this->fleet->mechanisms().peer_loads) return;
   this->fleet->loads().ApplyPeer(digest->box, digest->incarnation, digest->sequence, digest->loads,
                                  now);
@@ -226,14 +227,15 @@
 
 // The loads that the others must hear of now, or all of them; they count as told.
 std::map<std::string, EngineLoad> LoadExchange::TakeUntold(bool all, Time now) {
-  std::map<std::string, EngineLoad> own = this->fleet->loads().Own(now);
+  std::map<std::string, EngineLoad> own = this->fleet->loads().OwnLoads(now);
   // What was told and is no more is told once as zero.
   for (const auto& [engine, load] : this->told) own.try_emplace(engine);
   std::map<std::string, EngineLoad> untold;
   bool count_reading = this->fleet->mechanisms().tell_reading;
   for (const auto& [engine, load] : own) {
     auto before = this->told.find(engine);
-    bool is_new = before == this->told.end() || IsNews(before->second, load, count_reading);
+    bool is_new =
+        before == this->told.end() || IsSignificantChange(before->second, load, count_reading);
     if (!is_new && !all) continue;
     untold[engine] = load;
     if (load.requests == 0 && load.reading_ms == 0) {
@@ -247,7 +249,7 @@
 
 std::vector<const Peer*> LoadExchange::Neighbours(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<const Peer*> neighbours =
       this->directory.NextOf(plan.main_service(), main.cells, main.home, plan.revision());
   this->neighbour_count = neighbours.size();
@@ -259,7 +261,7 @@
   const EngineRecord* record = this->fleet->directory().FindIncarnation(engine);
   if (record == nullptr) return {};
   const WorkPlan& plan = this->fleet->plan(now);
-  const CellMap& cells = plan.Of(record->service).cells;
+  const CellMap& cells = plan.ForService(record->service).cells;
   return this->directory.NextOf(record->service, cells, cells.CellOf(*record), plan.revision());
 }
 
@@ -291,22 +293,22 @@
 void LoadExchange::SendOffers(Time now) {
   if (!this->fleet->mechanisms().spill) return;
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<const Peer*> receivers =
-      this->directory.DrawOutside(main.cells, main.home, Spill::kReceivers, &this->random);
+      this->directory.DrawOutside(main.cells, main.home, Spill::kReceiversPerRound, &this->random);
   if (receivers.empty()) return;
   LoadDigest digest = this->NewDigest(now);
   digest.is_offer = true;
   digest.sequence = ++this->sequence;
-  digest.loads = this->fleet->Offer(now);
+  digest.loads = this->fleet->EnginesToOffer(now);
   std::string datagram = EncodeDigest(digest);
   for (const Peer* peer : receivers) this->Send(*peer, datagram);
 }
 
 // Changes at once, all that still holds in each round.
 void LoadExchange::TellNotices(bool all, Time now) {
-  std::map<std::vector<const Peer*>, std::map<std::string, NoticeWord>> by_members;
-  for (const auto& [engine, word] : this->fleet->NoticesToTell(all, now)) {
+  std::map<std::vector<const Peer*>, std::map<std::string, NoticeReport>> by_members;
+  for (const auto& [engine, word] : this->fleet->NoticesToSend(all, now)) {
     by_members[this->ThoseOnEngine(engine, now)][engine] = word;
   }
   for (auto& [members, words] : by_members) {
@@ -325,7 +327,7 @@
 
 void LoadExchange::HearNotices(const LoadDigest& digest, Time now) {
   for (const auto& [engine, word] : digest.notices) {
-    EngineNotices::Change change = this->fleet->notices().HearWord(engine, word, now);
+    EngineNotices::Change change = this->fleet->notices().ReceiveReport(engine, word, now);
     if (!change.any()) continue;
     LogLine line("engine_notice");
     line.Text("engine", engine).Text("told_by", digest.box);
@@ -339,7 +341,7 @@
 // The members of the home cell tell each other something in every round.
 void LoadExchange::NoteSilentPeers(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<std::string> boxes;
   for (const Peer* peer :
        this->directory.MembersOf(plan.main_service(), main.cells, main.home, plan.revision())) {
@@ -364,7 +366,7 @@
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   digest.store_epoch = epoch.current();
   digest.epoch_is_settled = epoch.IsSettledFor(now);
-  for (const std::string& engine : this->fleet->SetAside(now)) {
+  for (const std::string& engine : this->fleet->SetAsideEngines(now)) {
     if (digest.set_aside.size() < kMostSetAsideTold) digest.set_aside.insert(engine);
   }
   return digest;
--- a/src/gateway/notice_listener.cc
+++ b/src/gateway/notice_listener.cc
@@ -27,7 +27,7 @@
   EngineNotice notice = platform::NoticeOf(head.status, head.headers);
   if (notice.malformed) NoteMalformed(state, engine);
   EngineNotices& notices = state->fleet.notices();
-  EngineNotices::Change change = notices.Hear(engine.Incarnation(), notice, sent, Now());
+  EngineNotices::Change change = notices.Receive(engine.Incarnation(), notice, sent, Now());
   if (!change.any()) return;
   state->counters.limits_heard += change.limit ? 1 : 0;
   state->counters.leavings_heard += change.leaving ? 1 : 0;
--- a/src/gateway/testing/gateway_world.h
+++ b/src/gateway/testing/gateway_world.h
@@ -43,7 +43,7 @@
   // Every attempt that one request may need, from the first moment on, though a process
   // that has just started has no slack yet: what fleets may retry together is not what
   // tests of single requests are about.
-  RetryBounds retry = {.window = seconds(10), .ratio = kMostAttempts, .slack = 100};
+  RetryBounds retry = {.window = seconds(10), .ratio = kMaxAttempts, .slack = 100};
 };
 
 // What a caller got.
--- a/src/gateway/testing/retry_budget_test.cc
+++ b/src/gateway/testing/retry_budget_test.cc
@@ -58,7 +58,7 @@
   void RunFor(Duration time) {
     for (Time until = this->now + time; this->now < until;) {
       this->now += milliseconds(1 + this->random() % 6);
-      RetryBucket& window = this->gateways[this->random() % kGateways].RetriesOf(kService);
+      RetryBucket& window = this->gateways[this->random() % kGateways].RetryBucketOf(kService);
       if (this->random() % 100 < 10) {
         window.AddRequest(this->now);
         this->requests.push_back(this->now);
@@ -82,7 +82,7 @@
   void RunWell(Duration duration) {
     for (Time end = this->now + duration; this->now < end;) {
       this->now += milliseconds(this->random() % 40);
-      this->gateways[this->random() % kGateways].RetriesOf(kService).AddRequest(this->now);
+      this->gateways[this->random() % kGateways].RetryBucketOf(kService).AddRequest(this->now);
       this->requests.push_back(this->now);
     }
   }
@@ -100,7 +100,7 @@
 
   Fleet NewGateway(Time started) const {
     Fleet fleet(this->bounds, "box", "hall", Mechanisms{}, started);
-    fleet.SetProcesses(kGateways);
+    fleet.SetProcessCount(kGateways);
     return fleet;
   }
 
@@ -166,13 +166,13 @@
   const RetryBounds bounds{seconds(10), 0.2, 104};
   constexpr size_t kGateways = 5;
   Fleet fleet(bounds, "box", "hall", Mechanisms{}, kStart);
-  fleet.SetProcesses(kGateways);
-  RetryBucket& bucket = fleet.RetriesOf(kService);
+  fleet.SetProcessCount(kGateways);
+  RetryBucket& bucket = fleet.RetryBucketOf(kService);
   for (int i = 0; i < 10; ++i) bucket.AddRequest(kStart);
   BOOST_TEST(bucket.TakeRetry(kStart));
   BOOST_TEST(bucket.TakeRetry(kStart));
   BOOST_TEST(!bucket.TakeRetry(kStart));
-  double share = bounds.slack / (kSharersMargin * kGateways);
+  double share = bounds.slack / (kProcessMargin * kGateways);
   int taken = 0;
   for (int second = 1; second <= 10; ++second) {
     while (bucket.TakeRetry(kStart + seconds(second))) taken += 1;
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -107,7 +107,7 @@
 // part of a prompt that is lost.
 bool TicketSet::HasRestarted(const TicketWish& wish) const {
   const EngineRecord* known = this->state->fleet.directory().Find(wish.engine.id);
-  return known != nullptr && known->born > wish.engine.born;
+  return known != nullptr && known->started_at_ms > wish.engine.started_at_ms;
 }
 
 void TicketSet::Release() {
--- a/src/serving/attempt_result.cc
+++ b/src/serving/attempt_result.cc
@@ -37,13 +37,13 @@
   if (result == AttemptResult::kSuccess) return NextStep::kDeliver;
   bool was_not_run = result == AttemptResult::kNotRun || result == AttemptResult::kWrongEngine;
   bool attempts_left =
-      state.attempts_run < state.max_attempts && state.attempts < kMostAttempts && state.time_left;
+      state.attempts_run < state.max_attempts && state.attempts < kMaxAttempts && state.time_left;
   bool worth_retry = was_not_run || (result != AttemptResult::kRejected && MayRepeat(state));
   if (attempts_left && worth_retry) return NextStep::kRetry;
-  return WithoutRetry(result, state);
+  return DecideWithoutRetry(result, state);
 }
 
-NextStep WithoutRetry(AttemptResult result, const RequestState& state) {
+NextStep DecideWithoutRetry(AttemptResult result, const RequestState& state) {
   if (state.answer_begun) return NextStep::kBreakOff;
   bool engine_answered =
       result == AttemptResult::kEngineFailure || result == AttemptResult::kRejected;
--- a/src/serving/attempt_result.h
+++ b/src/serving/attempt_result.h
@@ -73,13 +73,13 @@
 
 // Attempts that were certainly not run do not count against max_attempts, up to
 // this many attempts in all.
-inline constexpr int kMostAttempts = 4;
+inline constexpr int kMaxAttempts = 4;
 
 NextStep DecideNext(AttemptResult result, const RequestState& state);
 
 // What remains when another attempt is wanted but the budget is spent or no
 // engine is left.
-NextStep WithoutRetry(AttemptResult result, const RequestState& state);
+NextStep DecideWithoutRetry(AttemptResult result, const RequestState& state);
 
 }  // namespace gullward
 
--- a/src/serving/cell_map.cc
+++ b/src/serving/cell_map.cc
@@ -14,7 +14,7 @@
 // The fewest cells, of a power of two, that so many engines fit into.
 size_t PartsFor(size_t engines) {
   size_t parts = 1;
-  while (engines > parts * CellMap::kMostEngines) parts *= 2;
+  while (engines > parts * CellMap::kMaxEngines) parts *= 2;
   return parts;
 }
 
--- a/src/serving/cell_map.h
+++ b/src/serving/cell_map.h
@@ -67,7 +67,7 @@
   // Engines up to which a fleet is one cell: a decision that prices so many takes 0.2 ms.
   static constexpr size_t kWholeFleet = 72;
   // Engines of one cell at the most.
-  static constexpr size_t kMostEngines = 48;
+  static constexpr size_t kMaxEngines = 48;
   // Engines of an area at the least: as many as may read one prompt together, so that no
   // prompt is read by fewer for the division's sake.
   static constexpr size_t kLeastEngines = 16;
--- a/src/serving/departures.h
+++ b/src/serving/departed_engines.h
@@ -9,8 +9,8 @@
 //
 // Memory is bounded: kMost lives, of which the earliest go first, each for kKeptFor.
 
-#ifndef GULLWARD_SERVING_DEPARTURES_H_
-#define GULLWARD_SERVING_DEPARTURES_H_
+#ifndef GULLWARD_SERVING_DEPARTED_ENGINES_H_
+#define GULLWARD_SERVING_DEPARTED_ENGINES_H_
 
 #include <deque>
 #include <string>
@@ -21,30 +21,31 @@
 
 namespace gullward {
 
-class Departures {
+class DepartedEngines {
  public:
   // A store returns with a copy that is seconds old, after an outage of seconds.
-  static constexpr Duration kKeptFor = std::chrono::minutes(2);
+  static constexpr Duration kRetention = std::chrono::minutes(2);
   // 100 bytes each; a third of 10,000 engines may be replaced in that time.
-  static constexpr size_t kMost = 4096;
+  static constexpr size_t kMaxEntries = 4096;
 
-  void Note(const std::string& incarnation, Time now) {
+  void Add(const std::string& incarnation, Time now) {
     this->Forget(now);
-    if (this->lives.size() >= kMost) this->ForgetFirst();
+    if (this->lives.size() >= kMaxEntries) this->ForgetFirst();
     bool is_new = this->lives.try_emplace(incarnation, now).second;
     if (is_new) this->order.emplace_back(now, incarnation);
   }
 
-  bool Has(const std::string& incarnation, Time now) const {
+  bool Contains(const std::string& incarnation, Time now) const {
     auto found = this->lives.find(incarnation);
-    return found != this->lives.end() && now - found->second < kKeptFor;
+    return found != this->lives.end() && now - found->second < kRetention;
   }
 
   size_t size() const { return this->lives.size(); }
 
  private:
   void Forget(Time now) {
-    while (!this->order.empty() && now - this->order.front().first >= kKeptFor) this->ForgetFirst();
+    while (!this->order.empty() && now - this->order.front().first >= kRetention)
+      this->ForgetFirst();
   }
   void ForgetFirst() {
     this->lives.erase(this->order.front().second);
@@ -57,4 +58,4 @@
 
 }  // namespace gullward
 
-#endif  // GULLWARD_SERVING_DEPARTURES_H_
+#endif  // GULLWARD_SERVING_DEPARTED_ENGINES_H_
--- a/src/serving/engine_costs.cc
+++ b/src/serving/engine_costs.cc
@@ -46,7 +46,7 @@
   double harm = 0;
   for (const PauseClass& streams : load.streams) {
     double mean_context = streams.context_tokens / streams.streams;
-    double worth = WorthOf(mean_context) * streams.streams;
+    double worth = RequestValue(mean_context) * streams.streams;
     double late = kLateLoss * Lateness(pause_ms, streams.pause_ms, kPauseSafety);
     harm += worth * (pause_ms > kCallersLeaveMs ? 1 : late);
   }
@@ -85,7 +85,7 @@
   return step * speed.steps_per_pass;
 }
 
-double WorthOf(double tokens) { return kWorthBase + kWorthPerToken * tokens; }
+double RequestValue(double tokens) { return kWorthBase + kWorthPerToken * tokens; }
 
 double Lateness(double ms, double aim, double safety) {
   if (aim <= 0) return 0;
@@ -93,15 +93,15 @@
 }
 
 double CostToOthers(const EngineSpeed& speed, const Candidate& candidate, double reading_ms) {
-  double pass_ms = WritingPassMs(speed, candidate.load) + candidate.load.ToReadMs();
+  double pass_ms = WritingPassMs(speed, candidate.load) + candidate.load.RemainingReadingMs();
   double before = HarmToStreams(candidate.load, pass_ms);
   return HarmToStreams(candidate.load, pass_ms + reading_ms) - before;
 }
 
-double HoldUp(const EngineLoad& load, double reading_ms) {
+double StreamDelayCost(const EngineLoad& load, double reading_ms) {
   double hold_up = 0;
   for (const PauseClass& streams : load.streams) {
-    double worth = WorthOf(streams.context_tokens / streams.streams) * streams.streams;
+    double worth = RequestValue(streams.context_tokens / streams.streams) * streams.streams;
     hold_up += worth * reading_ms / std::max(streams.pause_ms, 1.0);
   }
   return hold_up;
@@ -122,7 +122,8 @@
   // that come before the event of its own.
   double wait_ms = candidate.load.writers > 0 ? pass_ms / 2 : 0;
   double steps_ms = std::max(pass_ms, speed.steps_per_pass * speed.step_ms);
-  return wait_ms + SlotWaitMs(speed, candidate) + candidate.load.ToReadMs() + reading_ms + steps_ms;
+  return wait_ms + SlotWaitMs(speed, candidate) + candidate.load.RemainingReadingMs() + reading_ms +
+         steps_ms;
 }
 
 int UsefulReaders(const EngineSpeed& speed, const Demand& demand) {
@@ -137,12 +138,12 @@
   double safety = long_read ? kLongReadSafety : kWaitSafety;
   double late = Lateness(first_event_ms, demand.objective_ms, safety);
   double small = kWaitWeight * first_event_ms / std::max(demand.objective_ms, 1.0);
-  return kLateLoss * WorthOf(demand.prompt_tokens) * late + small;
+  return kLateLoss * RequestValue(demand.prompt_tokens) * late + small;
 }
 
 double CostAsMain(const EngineSpeed& speed, const Candidate& candidate, const Demand& demand,
                   const Placement& shares) {
-  double worth = WorthOf(demand.prompt_tokens);
+  double worth = RequestValue(demand.prompt_tokens);
   double cost = kFailureWeight * worth * candidate.failure_rate;
   cost += CrowdCost(candidate, worth);
   cost += MemoryCost(speed, candidate, shares.memory_tokens, worth);
@@ -168,7 +169,7 @@
   double sum = 0;
   for (const Candidate& candidate : candidates) {
     double slots = static_cast<double>(candidate.load.requests) / std::max(candidate.slots, 1);
-    double reading = candidate.load.ToReadMs() / kBusyReadingMs;
+    double reading = candidate.load.RemainingReadingMs() / kBusyReadingMs;
     sum += std::min(std::max(slots, reading), 1.0);
   }
   return sum / static_cast<double>(std::max<size_t>(candidates.size(), 1));
--- a/src/serving/engine_costs.h
+++ b/src/serving/engine_costs.h
@@ -24,7 +24,7 @@
 inline constexpr double kFailureWeight = 2.0;
 
 // What a request with a prompt of so many tokens is worth.
-double WorthOf(double tokens);
+double RequestValue(double tokens);
 
 // How late `ms` is against `aim` (milliseconds too), from 0 (in time) to 1, with a
 // slope around the aim since both are estimates.  Lateness begins at the share
@@ -37,7 +37,7 @@
 // How much streams are held up by so much reading: their worth times the reading's
 // share of the pause that they tolerate.  No loss yet, but they end later and are there
 // for the next reading too.
-double HoldUp(const EngineLoad& load, double reading_ms);
+double StreamDelayCost(const EngineLoad& load, double reading_ms);
 
 // Milliseconds that a newcomer waits for a slot: they come free one by one, as
 // answers end.
--- a/src/serving/engine_directory.cc
+++ b/src/serving/engine_directory.cc
@@ -18,15 +18,15 @@
 
 // No id has an "@" (platform/documents.h).
 std::string EngineRecord::Incarnation() const {
-  return this->born == 0 ? this->id : absl::StrCat(this->id, "@", this->born);
+  return this->started_at_ms == 0 ? this->id : absl::StrCat(this->id, "@", this->started_at_ms);
 }
 
 void EngineDirectory::Update(const EngineRecord& record) {
   const EngineRecord* known = this->Find(record.id);
-  bool is_late = known != nullptr && record.born < known->born;
+  bool is_late = known != nullptr && record.started_at_ms < known->started_at_ms;
   std::string life = record.Incarnation();
-  if (record.draining) this->announced.Note(life, kForGood);
-  bool undoes_leaving = !record.draining && this->announced.Has(life, kForGood);
+  if (record.draining) this->announced.Add(life, kForGood);
+  bool undoes_leaving = !record.draining && this->announced.Contains(life, kForGood);
   if (is_late || undoes_leaving) return;
   this->doubted.erase(record.id);
   bool is_same = known != nullptr && *known == record;
@@ -34,7 +34,7 @@
   this->engines[record.id] = Entry{record, std::nullopt};
 }
 
-void EngineDirectory::Forget(const EngineRecord& record) {
+void EngineDirectory::RemoveIncarnation(const EngineRecord& record) {
   if (!this->IsListed(record)) return;
   this->engines.erase(record.id);
   this->changes += 1;
@@ -46,7 +46,7 @@
   if (found == this->engines.end()) return;
   bool keep = keep_until > now && !found->second.record.draining;
   if (!keep) {
-    this->departures.Note(found->second.record.Incarnation(), now);
+    this->departures.Add(found->second.record.Incarnation(), now);
     this->engines.erase(found);
     this->changes += 1;
     return;
@@ -61,12 +61,12 @@
   this->RemoveMissing(records, now, keep_until);
 }
 
-void EngineDirectory::ReplaceByOlder(const std::vector<EngineRecord>& records, Time now,
-                                     Time settled_at) {
+void EngineDirectory::ReplaceFromStaleList(const std::vector<EngineRecord>& records, Time now,
+                                           Time settled_at) {
   this->doubted.clear();
   this->doubted_until = settled_at;
   for (const EngineRecord& record : records) {
-    if (this->departures.Has(record.Incarnation(), now)) {
+    if (this->departures.Contains(record.Incarnation(), now)) {
       this->doubted[record.id] = record;
     } else {
       this->Update(record);
@@ -100,7 +100,7 @@
     const std::optional<Time>& gone_at = it->second.gone_at;
     bool gone = gone_at && *gone_at <= now;
     if (gone) this->changes += 1;
-    if (gone) this->departures.Note(it->second.record.Incarnation(), now);
+    if (gone) this->departures.Add(it->second.record.Incarnation(), now);
     if (gone_at && !gone) this->next_gone = std::min(this->next_gone, *gone_at);
     it = gone ? this->engines.erase(it) : std::next(it);
   }
@@ -133,7 +133,7 @@
 
 bool EngineDirectory::IsListed(const EngineRecord& record) const {
   const EngineRecord* known = this->Find(record.id);
-  return known != nullptr && known->born == record.born;
+  return known != nullptr && known->started_at_ms == record.started_at_ms;
 }
 
 std::set<std::string> EngineDirectory::Incarnations() const {
--- a/src/serving/engine_directory.h
+++ b/src/serving/engine_directory.h
@@ -31,7 +31,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "serving/departures.h"
+#include "serving/departed_engines.h"
 #include "transport/socket_address.h"
 
 namespace gullward {
@@ -48,7 +48,7 @@
   bool draining = false;
   // When this life began, in milliseconds of Unix time by the engine's own clock: only
   // good for telling two lives of one id apart, the later one having more.  0: not said.
-  int64_t born = 0;
+  int64_t started_at_ms = 0;
 
   // Names this life alone.  All that is believed of an engine or kept for it (work,
   // health, connections, the words of peers) is kept under this, so that what is said
@@ -80,11 +80,11 @@
 
   // Takes a whole list of which it is not known whether it is as old as a copy from which the
   // store has returned.  At `settled_at` what it says will have been put right.
-  void ReplaceByOlder(const std::vector<EngineRecord>& records, Time now, Time settled_at);
+  void ReplaceFromStaleList(const std::vector<EngineRecord>& records, Time now, Time settled_at);
 
   // A life that is not what its address once was: gone at once.  A later life of the
   // same id stays.
-  void Forget(const EngineRecord& record);
+  void RemoveIncarnation(const EngineRecord& record);
 
   // Drops the engines that are missing from the list and whose time has come, and takes those
   // that an older list had, that had left before, and that are listed still.
@@ -124,9 +124,9 @@
   };
 
   std::map<std::string, Entry> engines;
-  Departures departures;
+  DepartedEngines departures;
   // Lives that the list has said to be leaving.
-  Departures announced;
+  DepartedEngines announced;
   // Lives on an older list that had left, by id, and when they are believed after all.
   std::map<std::string, EngineRecord> doubted;
   Time doubted_until{};
--- a/src/serving/engine_health.h
+++ b/src/serving/engine_health.h
@@ -25,7 +25,7 @@
   static constexpr int kFailuresToSetAside = 2;
   static constexpr Duration kFirstPause = milliseconds(600);
   // Engines come back from crashes within seconds; waiting longer loses them.
-  static constexpr Duration kLongestPause = seconds(5);
+  static constexpr Duration kMaxPause = seconds(5);
   // The pause doubles so many times at the most: from 0.6 s past the longest.
   static constexpr int kMostDoublings = 4;
   // In which the failure rate halves without any answer.
@@ -51,7 +51,7 @@
     this->rated_at = now;
     if (this->failures_in_row < kFailuresToSetAside) return;
     int doublings = std::min(this->failures_in_row - kFailuresToSetAside, kMostDoublings);
-    this->out_until = now + std::min(kFirstPause * (1 << doublings), kLongestPause);
+    this->out_until = now + std::min(kFirstPause * (1 << doublings), kMaxPause);
   }
 
   // A failure that leaves no doubt, since the engine was never reached or others
@@ -61,7 +61,7 @@
     this->AddFailure(now);
   }
 
-  bool IsOut(Time now) const { return now < this->out_until; }
+  bool IsSetAside(Time now) const { return now < this->out_until; }
 
   // Whether it has answered so lately that our own experience outweighs what
   // others say.
--- a/src/serving/engine_list.cc
+++ b/src/serving/engine_list.cc
@@ -18,7 +18,7 @@
     entries.push_back(fb::CreateEngineEntry(
         builder, builder.CreateString(engine.id), builder.CreateString(engine.service),
         builder.CreateString(engine.address.ToString()), builder.CreateString(engine.data_centre),
-        engine.slots, engine.draining, engine.born));
+        engine.slots, engine.draining, engine.started_at_ms));
   }
   builder.Finish(fb::CreateEngineListPart(builder, builder.CreateVector(entries)));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
--- a/src/serving/engine_load.cc
+++ b/src/serving/engine_load.cc
@@ -38,32 +38,32 @@
   return sum;
 }
 
-bool IsNews(const EngineLoad& told, const EngineLoad& now, bool count_reading) {
+bool IsSignificantChange(const EngineLoad& told, const EngineLoad& now, bool count_reading) {
   if (told.requests != now.requests || told.writers != now.writers) return true;
   if ((told.reading_ms == 0) != (now.reading_ms == 0)) return true;
   return count_reading && std::abs(told.reading_ms - now.reading_ms) >= kReadingNewsMs;
 }
 
-void LoadBook::Begin(uint64_t work, std::vector<WorkPart> parts, Time now) {
+void LoadTracker::Begin(uint64_t work, std::vector<WorkPart> parts, Time now) {
   this->End(work);
   for (size_t i = 0; i < parts.size(); ++i) this->by_engine[parts[i].engine][work] = i;
   this->works[work] = Work{std::move(parts), now, true};
 }
 
-void LoadBook::FirstEvent(uint64_t work) {
+void LoadTracker::MarkFirstEvent(uint64_t work) {
   auto found = this->works.find(work);
   if (found != this->works.end()) found->second.reading = false;
 }
 
-void LoadBook::AnswerIsLate(uint64_t work) {
+void LoadTracker::MarkAnswerLate(uint64_t work) {
   auto found = this->works.find(work);
   if (found == this->works.end()) return;
   for (WorkPart& part : found->second.parts) {
-    if (part.pause_ms > 0) part.pause_ms = kPauseOfLateStreams;
+    if (part.pause_ms > 0) part.pause_ms = kLateStreamPauseMs;
   }
 }
 
-void LoadBook::End(uint64_t work) {
+void LoadTracker::End(uint64_t work) {
   auto found = this->works.find(work);
   if (found == this->works.end()) return;
   for (const WorkPart& part : found->second.parts) {
@@ -75,8 +75,8 @@
   this->works.erase(found);
 }
 
-void LoadBook::ApplyPeer(const std::string& name, uint64_t incarnation, uint64_t sequence,
-                         const std::map<std::string, EngineLoad>& loads, Time now) {
+void LoadTracker::ApplyPeer(const std::string& name, uint64_t incarnation, uint64_t sequence,
+                            const std::map<std::string, EngineLoad>& loads, Time now) {
   uint64_t& life = this->lives[name];
   if (life != incarnation) {
     for (auto& [engine, peers] : this->told) peers.erase(name);
@@ -88,24 +88,24 @@
   }
 }
 
-void LoadBook::ForgetSilent(Time now) {
+void LoadTracker::ForgetSilent(Time now) {
   std::set<std::string> heard;
   for (auto engine = this->told.begin(); engine != this->told.end();) {
     std::erase_if(engine->second,
-                  [&](const auto& word) { return now - word.second.heard > kPeerSilence; });
+                  [&](const auto& word) { return now - word.second.heard > kPeerTimeout; });
     for (const auto& [peer, word] : engine->second) heard.insert(peer);
     engine = engine->second.empty() ? this->told.erase(engine) : std::next(engine);
   }
   std::erase_if(this->lives, [&](const auto& life) { return heard.count(life.first) == 0; });
 }
 
-size_t LoadBook::words() const {
+size_t LoadTracker::peer_entries() const {
   size_t count = 0;
   for (const auto& [engine, peers] : this->told) count += peers.size();
   return count;
 }
 
-EngineLoad LoadBook::LoadOf(const Work& work, const WorkPart& part, Time now) {
+EngineLoad LoadTracker::LoadOf(const Work& work, const WorkPart& part, Time now) {
   EngineLoad load;
   if (work.reading) {
     double elapsed_ms = ToSeconds(now - work.begun) * 1000;
@@ -120,7 +120,7 @@
   return load;
 }
 
-EngineLoad LoadBook::SumOf(const PartsOfEngine& parts, Time now) const {
+EngineLoad LoadTracker::SumOf(const PartsOfEngine& parts, Time now) const {
   EngineLoad sum;
   for (const auto& [work, place] : parts) {
     const Work& entry = this->works.at(work);
@@ -129,7 +129,7 @@
   return sum;
 }
 
-EngineLoad LoadBook::Of(const std::string& engine, Time now) const {
+EngineLoad LoadTracker::LoadOn(const std::string& engine, Time now) const {
   EngineLoad sum;
   auto own = this->by_engine.find(engine);
   if (own != this->by_engine.end()) sum = this->SumOf(own->second, now);
@@ -137,7 +137,7 @@
   if (words == this->told.end()) return sum;
   for (const auto& [peer, word] : words->second) {
     Duration age = now - word.heard;
-    bool is_over = age > kPeerSilence || word.load == EngineLoad{};
+    bool is_over = age > kPeerTimeout || word.load == EngineLoad{};
     if (is_over) continue;
     EngineLoad load = word.load;
     load.read_ms = std::min(load.read_ms + ToSeconds(age) * 1000, load.reading_ms);
@@ -146,7 +146,7 @@
   return sum;
 }
 
-std::map<std::string, EngineLoad> LoadBook::Own(Time now) const {
+std::map<std::string, EngineLoad> LoadTracker::OwnLoads(Time now) const {
   std::map<std::string, EngineLoad> loads;
   for (const auto& [engine, parts] : this->by_engine) loads[engine] = this->SumOf(parts, now);
   return loads;
--- a/src/serving/engine_load.h
+++ b/src/serving/engine_load.h
@@ -21,7 +21,7 @@
 
 // The pause that a stream tolerates once its answer is late, in milliseconds: any.
 // What it can still lose, its caller's patience, is priced apart from this.
-inline constexpr double kPauseOfLateStreams = 100'000;
+inline constexpr double kLateStreamPauseMs = 100'000;
 
 // Streams on one engine that tolerate the same pause between events.
 struct PauseClass {
@@ -49,7 +49,7 @@
   std::vector<PauseClass> streams;
 
   // Milliseconds of reading that are still to be done.
-  double ToReadMs() const { return reading_ms > read_ms ? reading_ms - read_ms : 0; }
+  double RemainingReadingMs() const { return reading_ms > read_ms ? reading_ms - read_ms : 0; }
 
   bool operator==(const EngineLoad&) const = default;
 };
@@ -63,7 +63,7 @@
 
 // Whether peers would choose otherwise if they knew the load of now instead of the one
 // that they were told.  `count_reading` off: only whether there is any reading counts.
-bool IsNews(const EngineLoad& told, const EngineLoad& now, bool count_reading = true);
+bool IsSignificantChange(const EngineLoad& told, const EngineLoad& now, bool count_reading = true);
 
 // A request's part on one engine.
 struct WorkPart {
@@ -78,20 +78,20 @@
   bool operator==(const WorkPart&) const = default;
 };
 
-class LoadBook {
+class LoadTracker {
  public:
   // A process that has said nothing for so long has stopped or lost touch; its
   // work is ending or unknown.
-  static constexpr Duration kPeerSilence = milliseconds(1500);
+  static constexpr Duration kPeerTimeout = milliseconds(1500);
 
   // A request's work, under a number of this process's own: sent, its first event
   // come, ended.
   void Begin(uint64_t work, std::vector<WorkPart> parts, Time now);
-  void FirstEvent(uint64_t work);
+  void MarkFirstEvent(uint64_t work);
   void End(uint64_t work);
   // Its answer has come later than its caller wanted: no pause makes it later, so other
   // prompts may be read beside it before they disturb streams that are in time.
-  void AnswerIsLate(uint64_t work);
+  void MarkAnswerLate(uint64_t work);
 
   // Takes what another process has told of its own work, engine by engine.  What
   // came earlier in the same life of the peer but arrives later is dropped; a new
@@ -104,13 +104,13 @@
   void ForgetSilent(Time now);
 
   // How many words of peers are kept.
-  size_t words() const;
+  size_t peer_entries() const;
 
   // All known work on an engine.
-  EngineLoad Of(const std::string& engine, Time now) const;
+  EngineLoad LoadOn(const std::string& engine, Time now) const;
 
   // This process's own work, by engine.
-  std::map<std::string, EngineLoad> Own(Time now) const;
+  std::map<std::string, EngineLoad> OwnLoads(Time now) const;
 
  private:
   struct Work {
--- a/src/serving/engine_notice.h
+++ b/src/serving/engine_notice.h
@@ -30,21 +30,21 @@
 };
 
 // What an engine has said of its limit, and how long ago.
-struct LimitWord {
+struct LimitReport {
   // No value: the engine no longer names a limit.
   std::optional<double> per_s = std::nullopt;
   Duration age{};
 
-  bool operator==(const LimitWord&) const = default;
+  bool operator==(const LimitReport&) const = default;
 };
 
 // What one gateway tells another of an engine's notices.  The pause is not among them: it is
 // asked of one gateway alone.
-struct NoticeWord {
-  std::optional<LimitWord> limit = std::nullopt;
+struct NoticeReport {
+  std::optional<LimitReport> limit = std::nullopt;
   bool leaving = false;
 
-  bool operator==(const NoticeWord&) const = default;
+  bool operator==(const NoticeReport&) const = default;
 };
 
 }  // namespace gullward
--- a/src/serving/engine_notices.cc
+++ b/src/serving/engine_notices.cc
@@ -52,8 +52,8 @@
   return changed;
 }
 
-EngineNotices::Change EngineNotices::Hear(const std::string& engine, const EngineNotice& notice,
-                                          Time sent, Time now) {
+EngineNotices::Change EngineNotices::Receive(const std::string& engine, const EngineNotice& notice,
+                                             Time sent, Time now) {
   Change change;
   if (SaysNothing(notice) && !this->Has(engine)) return change;
   Entry& entry = this->FindOrAdd(engine, now);
@@ -75,8 +75,8 @@
   return change;
 }
 
-EngineNotices::Change EngineNotices::HearWord(const std::string& engine, const NoticeWord& word,
-                                              Time now) {
+EngineNotices::Change EngineNotices::ReceiveReport(const std::string& engine,
+                                                   const NoticeReport& word, Time now) {
   Change change;
   bool is_new = word.leaving || (word.limit && word.limit->per_s);
   if (!is_new && !this->Has(engine)) return change;
@@ -89,18 +89,18 @@
   return change;
 }
 
-std::map<std::string, NoticeWord> EngineNotices::WordsToTell(
+std::map<std::string, NoticeReport> EngineNotices::ReportsToSend(
     bool all, const std::function<bool(const std::string& engine)>& is_sharer, Time now) {
-  std::map<std::string, NoticeWord> words;
+  std::map<std::string, NoticeReport> words;
   for (auto& [engine, entry] : this->entries) {
     bool is_due = all && (now - entry.heard_at < kOwnWordLasts || is_sharer(engine));
     if (!entry.is_untold && !is_due) continue;
     entry.is_untold = false;
-    NoticeWord word;
+    NoticeReport word;
     Duration age = now - entry.limit_said;
-    if (age <= kOldestWord) word.limit = LimitWord{entry.limit_per_s, age};
+    if (age <= kOldestWord) word.limit = LimitReport{entry.limit_per_s, age};
     word.leaving = entry.leaving;
-    if (word != NoticeWord{}) words[engine] = word;
+    if (word != NoticeReport{}) words[engine] = word;
   }
   return words;
 }
@@ -123,7 +123,8 @@
   entry->credit.Take();
 }
 
-std::optional<Duration> EngineNotices::OpensIn(const std::string& engine, double share, Time now) {
+std::optional<Duration> EngineNotices::TimeUntilAdmission(const std::string& engine, double share,
+                                                          Time now) {
   Entry* entry = this->Find(engine);
   if (entry == nullptr) return Duration::zero();
   if (entry->leaving) return std::nullopt;
@@ -154,7 +155,7 @@
   bool was_limited = now - entry.limit_said < kLiftedKeptFor;
   bool says_nothing =
       !entry.limit_per_s && !was_limited && !entry.leaving && entry.rests_until <= now;
-  return says_nothing || now - entry.kept_since >= kKeptFor;
+  return says_nothing || now - entry.kept_since >= kRetention;
 }
 
 void EngineNotices::Forget(const std::set<std::string>& listed, Time now) {
--- a/src/serving/engine_notices.h
+++ b/src/serving/engine_notices.h
@@ -42,7 +42,7 @@
 class EngineNotices {
  public:
   // An engine may drop off the list and come back, or leave for minutes.
-  static constexpr Duration kKeptFor = std::chrono::minutes(10);
+  static constexpr Duration kRetention = std::chrono::minutes(10);
   // 200 bytes each.
   static constexpr size_t kCapacity = 4096;
   // Of all gateways together, so that an engine that names a limit of zero is asked now and
@@ -69,13 +69,13 @@
 
   // Takes what an engine has said in an answer that arrived at `now` to a request sent at
   // `sent`.
-  Change Hear(const std::string& engine, const EngineNotice& notice, Time sent, Time now);
+  Change Receive(const std::string& engine, const EngineNotice& notice, Time sent, Time now);
   // Takes what another gateway has told.
-  Change HearWord(const std::string& engine, const NoticeWord& word, Time now);
+  Change ReceiveReport(const std::string& engine, const NoticeReport& word, Time now);
 
   // What the others should hear: changes that nobody has been told of, or with `all`, in each
   // round, also what the engine has said lately and what those who share its limit know.
-  std::map<std::string, NoticeWord> WordsToTell(
+  std::map<std::string, NoticeReport> ReportsToSend(
       bool all, const std::function<bool(const std::string& engine)>& is_sharer, Time now);
 
   // Whether the engine takes a request from this gateway now, which has `share` of its limit.
@@ -83,7 +83,7 @@
   // A request has been sent to the engine.
   void NoteSent(const std::string& engine, double share, Time now);
   // After how long it will take one; nothing where that is not known.
-  std::optional<Duration> OpensIn(const std::string& engine, double share, Time now);
+  std::optional<Duration> TimeUntilAdmission(const std::string& engine, double share, Time now);
 
   bool empty() const { return this->entries.empty(); }
   // Whether anything is known of the engine.
--- a/src/serving/event_splitter.h
+++ b/src/serving/event_splitter.h
@@ -33,7 +33,7 @@
   WholeEvents Feed(std::string_view bytes);
 
   // Whether an unfinished event waits.
-  bool has_rest() const { return !this->rest.empty(); }
+  bool has_partial_event() const { return !this->rest.empty(); }
 
  private:
   std::string rest;
--- a/src/serving/fleet.cc
+++ b/src/serving/fleet.cc
@@ -23,9 +23,9 @@
 constexpr double kFullReadingMs = 1000;
 
 // An engine's place, 0 to 1, in the order of one request alone.
-double ScatteredRank(const std::string& engine, uint64_t scatter_by) {
+double ScatteredRank(const std::string& engine, uint64_t scatter_hash) {
   constexpr double kPlaces = 1 << 16;
-  uint64_t hash = XXH3_64bits_withSeed(engine.data(), engine.size(), scatter_by);
+  uint64_t hash = XXH3_64bits_withSeed(engine.data(), engine.size(), scatter_hash);
   return static_cast<double>(hash % static_cast<uint64_t>(kPlaces)) / kPlaces;
 }
 
@@ -41,15 +41,15 @@
       work_plan(own_box, this->data_centre, mechanisms.cells),
       suspicion(own_box) {}
 
-RetryBucket& Fleet::RetriesOf(const std::string& service) {
+RetryBucket& Fleet::RetryBucketOf(const std::string& service) {
   auto [found, is_new] = this->retries.try_emplace(service, this->retry_bounds, this->started);
-  if (is_new && this->processes) found->second.SetProcesses(*this->processes);
+  if (is_new && this->processes) found->second.SetProcessCount(*this->processes);
   return found->second;
 }
 
-void Fleet::SetProcesses(size_t count) {
+void Fleet::SetProcessCount(size_t count) {
   this->processes = count;
-  for (auto& [service, window] : this->retries) window.SetProcesses(count);
+  for (auto& [service, window] : this->retries) window.SetProcessCount(count);
 }
 
 void Fleet::NoteFailure(const std::string& engine, bool unreachable, Time now) {
@@ -61,17 +61,17 @@
   }
 }
 
-std::set<std::string> Fleet::SetAside(Time now) const {
+std::set<std::string> Fleet::SetAsideEngines(Time now) const {
   std::set<std::string> set_aside;
   for (const auto& [engine, record] : this->health) {
-    if (record.IsOut(now)) set_aside.insert(engine);
+    if (record.IsSetAside(now)) set_aside.insert(engine);
   }
   if (PeerSuspicion::IsInTrouble(set_aside.size(), this->work_plan.engines())) return {};
   return set_aside;
 }
 
-void Fleet::HearSetAside(const std::string& peer, const std::set<std::string>& set_aside,
-                         Time now) {
+void Fleet::ReceiveSetAside(const std::string& peer, const std::set<std::string>& set_aside,
+                            Time now) {
   if (!this->switches.peer_set_aside) return;
   this->suspicion.Hear(peer, set_aside, this->plan(now).engines(), now);
 }
@@ -79,7 +79,7 @@
 // Whether an engine gets no work while there are others.
 bool Fleet::Avoids(const std::string& engine, Time now) {
   const EngineHealth& record = this->health[engine];
-  if (this->switches.own_set_aside && record.IsOut(now)) return true;
+  if (this->switches.own_set_aside && record.IsSetAside(now)) return true;
   return this->suspicion.Suspects(engine, now) && !record.SucceededLately(now);
 }
 
@@ -118,13 +118,14 @@
     const HomeEngine& engine = *pickable[i];
     Candidate candidate;
     candidate.engine = engine.incarnation;
-    candidate.load = this->load_book.Of(engine.incarnation, now);
+    candidate.load = this->load_book.LoadOn(engine.incarnation, now);
     candidate.slots = engine.record.slots;
     candidate.same_data_centre = engine.record.data_centre == this->data_centre;
     candidate.failure_rate = this->health[engine.incarnation].FailureRate(now);
     candidate.rank = this->switches.shared_order ? static_cast<double>(i) / last : 0;
-    candidate.helps = this->MayHelp(engine.incarnation);
-    if (demand.scatter_by) candidate.rank = ScatteredRank(engine.incarnation, *demand.scatter_by);
+    candidate.may_help = this->MayHelp(engine.incarnation);
+    if (demand.scatter_hash)
+      candidate.rank = ScatteredRank(engine.incarnation, *demand.scatter_hash);
     candidates.push_back(std::move(candidate));
   }
   FleetChoice choice;
@@ -169,7 +170,7 @@
 
 std::optional<FleetChoice> Fleet::Choose(const Service& service, const Demand& demand,
                                          const std::set<std::string>& tried, Time now) {
-  const ServicePlan& home_plan = this->plan(now).Of(service.name);
+  const ServicePlan& home_plan = this->plan(now).ForService(service.name);
   std::optional<FleetChoice> home =
       this->ChooseAmong(home_plan.engines, service, demand, tried, now);
   if (home_plan.cells.is_whole() || !service.runs_models) return home;
@@ -186,17 +187,17 @@
   return better && !ShouldRefuse(away->placement, demand) ? away : home;
 }
 
-std::map<std::string, EngineLoad> Fleet::Offer(Time now) {
+std::map<std::string, EngineLoad> Fleet::EnginesToOffer(Time now) {
   const WorkPlan& current = this->plan(now);
   std::vector<std::pair<double, std::string>> by_load;
   std::map<std::string, EngineLoad> loads;
-  for (const HomeEngine& engine : current.Of(current.main_service()).engines) {
+  for (const HomeEngine& engine : current.ForService(current.main_service()).engines) {
     bool is_free =
         !this->Avoids(engine.incarnation, now) && !this->engine_notices.Has(engine.incarnation);
     if (!is_free) continue;
-    EngineLoad load = this->load_book.Of(engine.incarnation, now);
+    EngineLoad load = this->load_book.LoadOn(engine.incarnation, now);
     double taken = static_cast<double>(load.requests) / std::max(engine.record.slots, 1);
-    by_load.emplace_back(taken + load.ToReadMs() / kFullReadingMs, engine.incarnation);
+    by_load.emplace_back(taken + load.RemainingReadingMs() / kFullReadingMs, engine.incarnation);
     loads[engine.incarnation] = std::move(load);
   }
   std::sort(by_load.begin(), by_load.end());
@@ -208,8 +209,8 @@
   return offer;
 }
 
-void Fleet::HearOffer(const std::string& peer, uint64_t incarnation, uint64_t sequence,
-                      const std::map<std::string, EngineLoad>& loads, Time now) {
+void Fleet::ReceiveOffer(const std::string& peer, uint64_t incarnation, uint64_t sequence,
+                         const std::map<std::string, EngineLoad>& loads, Time now) {
   if (!this->switches.spill) return;
   const WorkPlan& current = this->plan(now);
   std::map<std::string, EngineLoad> elsewhere;
@@ -217,7 +218,7 @@
   for (const auto& [engine, load] : loads) {
     const EngineRecord* record = this->engines.FindIncarnation(engine);
     if (record == nullptr) continue;
-    const ServicePlan& service = current.Of(record->service);
+    const ServicePlan& service = current.ForService(record->service);
     if (service.cells.CellOf(*record) == service.home) continue;
     elsewhere[engine] = load;
     offered.insert(engine);
--- a/src/serving/fleet.h
+++ b/src/serving/fleet.h
@@ -54,14 +54,14 @@
   EngineDirectory& directory() { return this->engines; }
   const EngineDirectory& directory() const { return this->engines; }
   // What runs on each engine.
-  LoadBook& loads() { return this->load_book; }
+  LoadTracker& loads() { return this->load_book; }
   // This process's own experience of an engine.
   EngineHealth& HealthOf(const std::string& engine) { return this->health[engine]; }
   // What engines have said of themselves.
   EngineNotices& notices() { return this->engine_notices; }
   const EngineNotices& notices() const { return this->engine_notices; }
   // The budget of second attempts at a service.
-  RetryBucket& RetriesOf(const std::string& service);
+  RetryBucket& RetryBucketOf(const std::string& service);
 
   // Counts an attempt that failed by the engine's doing.  Where peers have set the
   // engine aside, or it could not be reached, one failure is enough to do so too.
@@ -69,9 +69,9 @@
 
   // The engines that this process has set aside by its own experience; none where
   // they are so many that the trouble must be its own.
-  std::set<std::string> SetAside(Time now) const;
+  std::set<std::string> SetAsideEngines(Time now) const;
   // What a peer has set aside.
-  void HearSetAside(const std::string& peer, const std::set<std::string>& set_aside, Time now);
+  void ReceiveSetAside(const std::string& peer, const std::set<std::string>& set_aside, Time now);
 
   // What this process works on, by the list as it is.
   const WorkPlan& plan(Time now);
@@ -79,11 +79,11 @@
   size_t home_engines() const { return this->work_plan.engines(); }
   // Engines of the home cell that have room, with all the work that is known there; to be
   // offered to gateways of other cells.
-  std::map<std::string, EngineLoad> Offer(Time now);
+  std::map<std::string, EngineLoad> EnginesToOffer(Time now);
   // What a gateway of another cell offers, in a datagram of that life and sequence.  Of
   // engines of the home cell it says nothing: their work is told by those who have it there.
-  void HearOffer(const std::string& peer, uint64_t incarnation, uint64_t sequence,
-                 const std::map<std::string, EngineLoad>& loads, Time now);
+  void ReceiveOffer(const std::string& peer, uint64_t incarnation, uint64_t sequence,
+                    const std::map<std::string, EngineLoad>& loads, Time now);
 
   // All other gateways that are known.
   void SetGateways(std::vector<GatewayName> others);
@@ -95,18 +95,18 @@
   bool StillAdmits(const FleetChoice& choice, Time now);
   // Whether a request that waits for a connection to the engine should go on waiting: not
   // where the engine has left, is leaving or has asked for a pause meanwhile.
-  bool MayStillGo(const EngineRecord& engine, Time now) const;
+  bool ShouldKeepWaiting(const EngineRecord& engine, Time now) const;
   // A request has been sent to the engine.
   void NoteSent(const EngineRecord& engine, Time now);
   // Whether the service has engines and none of them takes a request now, by its own word.
   bool AllHoldBack(const Service& service, Time now);
   // Then: after how long the first of them will take one; nothing where that is not known.
-  std::optional<Duration> OpensIn(const Service& service, Time now);
+  std::optional<Duration> TimeUntilAdmission(const Service& service, Time now);
   // Notices that peers should be told of (EngineNotices::WordsToTell).
-  std::map<std::string, NoticeWord> NoticesToTell(bool all, Time now);
+  std::map<std::string, NoticeReport> NoticesToSend(bool all, Time now);
 
   // Says how many processes share the budget of retries.
-  void SetProcesses(size_t count);
+  void SetProcessCount(size_t count);
 
   // Picks engines for a request; those in `tried` only where no other is left.
   // Nothing where no engine of the service may get work.
@@ -140,7 +140,7 @@
   std::string box;
   WorkPlan work_plan;
   Spill spill;
-  LoadBook load_book;
+  LoadTracker load_book;
   std::map<std::string, EngineHealth> health;
   EngineNotices engine_notices;
   // Whether the other gateways are known at all.
--- a/src/serving/fleet_notices.cc
+++ b/src/serving/fleet_notices.cc
@@ -28,7 +28,7 @@
   this->limit_shares_of = this->work_plan.revision();
   auto [found, is_new] = this->limit_shares.try_emplace(incarnation, 0);
   if (!is_new) return found->second;
-  const ServicePlan& plan = this->work_plan.Of(engine.service);
+  const ServicePlan& plan = this->work_plan.ForService(engine.service);
   if (plan.cells.CellOf(engine) != plan.home) return 0;
   std::vector<std::string> others;
   for (const GatewayName& gateway : this->work_plan.known_gateways()) {
@@ -60,7 +60,7 @@
   });
 }
 
-bool Fleet::MayStillGo(const EngineRecord& engine, Time now) const {
+bool Fleet::ShouldKeepWaiting(const EngineRecord& engine, Time now) const {
   std::string incarnation = engine.Incarnation();
   const EngineRecord* known = this->engines.FindIncarnation(incarnation);
   if (known == nullptr || known->draining) return false;
@@ -78,7 +78,7 @@
 
 // All that a request may go to at all.
 std::vector<HomeEngine> Fleet::EnginesFor(const Service& service, Time now) {
-  const ServicePlan& home = this->plan(now).Of(service.name);
+  const ServicePlan& home = this->plan(now).ForService(service.name);
   std::vector<HomeEngine> found = home.engines;
   if (home.cells.is_whole() || !service.runs_models) return found;
   std::vector<HomeEngine> others = this->OthersFor(service, /*any=*/found.empty(), now);
@@ -94,22 +94,23 @@
   });
 }
 
-std::optional<Duration> Fleet::OpensIn(const Service& service, Time now) {
+std::optional<Duration> Fleet::TimeUntilAdmission(const Service& service, Time now) {
   std::optional<Duration> soonest;
   for (const HomeEngine& engine : this->EnginesFor(service, now)) {
     double share = this->ShareOfLimit(engine.record, engine.incarnation);
-    std::optional<Duration> opens = this->engine_notices.OpensIn(engine.incarnation, share, now);
+    std::optional<Duration> opens =
+        this->engine_notices.TimeUntilAdmission(engine.incarnation, share, now);
     if (opens && (!soonest || *opens < *soonest)) soonest = opens;
   }
   return soonest;
 }
 
-std::map<std::string, NoticeWord> Fleet::NoticesToTell(bool all, Time now) {
+std::map<std::string, NoticeReport> Fleet::NoticesToSend(bool all, Time now) {
   auto is_sharer = [this](const std::string& incarnation) {
     const EngineRecord* engine = this->engines.FindIncarnation(incarnation);
     return engine != nullptr && this->ShareOfLimit(*engine, incarnation) > 0;
   };
-  return this->engine_notices.WordsToTell(all, is_sharer, now);
+  return this->engine_notices.ReportsToSend(all, is_sharer, now);
 }
 
 }  // namespace gullward
--- a/src/serving/load_digest.cc
+++ b/src/serving/load_digest.cc
@@ -53,7 +53,7 @@
     flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<fb::EngineNoticeEntry>>>;
 
 PackedNotices PackNotices(flatbuffers::FlatBufferBuilder* builder,
-                          const std::map<std::string, NoticeWord>& notices) {
+                          const std::map<std::string, NoticeReport>& notices) {
   if (notices.empty()) return 0;
   std::vector<flatbuffers::Offset<fb::EngineNoticeEntry>> entries;
   for (const auto& [engine, word] : notices) {
@@ -69,23 +69,23 @@
 }
 
 // Nothing where it holds a limit that no engine can have named.
-std::optional<LimitWord> ReadLimit(const fb::EngineLimit& packed) {
-  LimitWord limit;
+std::optional<LimitReport> ReadLimit(const fb::EngineLimit& packed) {
+  LimitReport limit;
   limit.age = Duration(static_cast<int64_t>(std::min(packed.age_us(), kMostAgeUs)));
   if (packed.per_s()) limit.per_s = *packed.per_s();
   if (limit.per_s && !IsAmount(*limit.per_s)) return std::nullopt;
   return limit;
 }
 
-std::map<std::string, NoticeWord> ReadNotices(const fb::LoadDigest& packed) {
-  std::map<std::string, NoticeWord> notices;
+std::map<std::string, NoticeReport> ReadNotices(const fb::LoadDigest& packed) {
+  std::map<std::string, NoticeReport> notices;
   if (packed.notices() == nullptr) return notices;
   for (const fb::EngineNoticeEntry* entry : *packed.notices()) {
     if (entry->engine() == nullptr) continue;
-    NoticeWord word;
+    NoticeReport word;
     if (entry->limit() != nullptr) word.limit = ReadLimit(*entry->limit());
     word.leaving = entry->leaving();
-    if (word != NoticeWord{}) notices[entry->engine()->str()] = word;
+    if (word != NoticeReport{}) notices[entry->engine()->str()] = word;
   }
   return notices;
 }
--- a/src/serving/load_digest.h
+++ b/src/serving/load_digest.h
@@ -44,7 +44,7 @@
   // (serving/spill.h), instead of its own work.
   bool is_offer = false;
   // What engines have said of themselves (serving/engine_notices.h).
-  std::map<std::string, NoticeWord> notices;
+  std::map<std::string, NoticeReport> notices;
   // News that its receivers pass on (serving/crash_news.h).
   CrashNews crash_news;
 
--- a/src/serving/placement.cc
+++ b/src/serving/placement.cc
@@ -37,7 +37,7 @@
 };
 
 ReaderCosts PriceReaders(const Question& question, const Placement& shares) {
-  double worth = WorthOf(question.demand.prompt_tokens);
+  double worth = RequestValue(question.demand.prompt_tokens);
   ReaderCosts costs;
   for (const Candidate& candidate : question.candidates) {
     costs.first_event_ms.push_back(FirstEventMs(question.speed, candidate, shares.part_reading_ms));
@@ -50,7 +50,8 @@
 // one to help with it.
 double TogetherCost(const Question& question, size_t engine, const Placement& shares) {
   if (!question.options.gather_streams) return 0;
-  return kTogetherWeight * HoldUp(question.candidates[engine].load, shares.part_reading_ms);
+  return kTogetherWeight *
+         StreamDelayCost(question.candidates[engine].load, shares.part_reading_ms);
 }
 
 // The engine to run the request itself: the one that costs least but for the preference
@@ -89,7 +90,7 @@
                                     const Placement& shares, size_t main, long count) {
   std::vector<size_t> others;
   for (size_t i = 0; i < costs.as_reader.size(); ++i) {
-    if (i != main && question.candidates[i].helps) others.push_back(i);
+    if (i != main && question.candidates[i].may_help) others.push_back(i);
   }
   auto order = [&](size_t i) {
     return costs.as_reader[i] + TogetherCost(question, i, shares) +
@@ -112,7 +113,7 @@
   placement.engines = {*main};
   placement.first_event_ms = costs.first_event_ms[*main];
   placement.slot_wait_ms = SlotWaitMs(speed, candidates[*main]);
-  placement.harm = CostToOthers(speed, candidates[*main], placement.part_reading_ms);
+  placement.cost_to_streams = CostToOthers(speed, candidates[*main], placement.part_reading_ms);
   // The slowest reader alone decides when the first event comes, so lateness is
   // paid once.
   placement.cost -= CostOfWaiting(speed, demand, placement.first_event_ms);
@@ -121,7 +122,7 @@
   for (size_t helper : helpers) {
     placement.engines.push_back(helper);
     placement.cost += costs.as_reader[helper];
-    placement.harm += CostToOthers(speed, candidates[helper], placement.part_reading_ms);
+    placement.cost_to_streams += CostToOthers(speed, candidates[helper], placement.part_reading_ms);
     placement.first_event_ms = std::max(placement.first_event_ms, costs.first_event_ms[helper]);
   }
   placement.cost += CostOfWaiting(speed, demand, placement.first_event_ms);
@@ -142,7 +143,7 @@
     Placement placement = ChooseWithReaders(question, readers);
     if (!placement.engines.empty() && placement.cost < best.cost) best = placement;
   }
-  best.busy = Busy(candidates);
+  best.utilization = Busy(candidates);
   best.engine_seconds = EngineSeconds(speed, demand);
   return best;
 }
--- a/src/serving/placement.h
+++ b/src/serving/placement.h
@@ -42,11 +42,11 @@
   double pause_ms = 0;
   // Whether the caller seems to have been refused before: it waits for a shorter
   // time than the route allows.
-  bool came_back = false;
+  bool was_refused_before = false;
   // Set where the request was on an engine that ended: such requests do not fill engines in
   // the shared order but in one of their own each, by this hash.  They would meet again on
   // the next engine, and if one of them ends that too, nobody could tell which.
-  std::optional<uint64_t> scatter_by;
+  std::optional<uint64_t> scatter_hash;
 
   bool operator==(const Demand&) const = default;
 };
@@ -63,7 +63,7 @@
   // Its place in the order that all processes share, 0 to 1.
   double rank = 0;
   // Whether it may read parts of prompts that run on other engines.
-  bool helps = true;
+  bool may_help = true;
 
   bool operator==(const Candidate&) const = default;
 };
@@ -87,10 +87,10 @@
   // In units of a short request's worth.
   double cost = 0;
   // The part of the cost that streams on the engines bear.
-  double harm = 0;
+  double cost_to_streams = 0;
   // How busy all candidates are, 0 to 1, and the engine time that it takes, in
   // seconds.
-  double busy = 0;
+  double utilization = 0;
   double engine_seconds = 0;
 
   bool operator==(const Placement&) const = default;
--- a/src/serving/refusal.cc
+++ b/src/serving/refusal.cc
@@ -23,10 +23,10 @@
 
 bool ShouldRefuse(const Placement& placement, const Demand& demand) {
   double late = Lateness(placement.first_event_ms, demand.objective_ms, kRefusalSafety);
-  double earned = WorthOf(demand.prompt_tokens) * (1 - kLateLoss * late);
+  double earned = RequestValue(demand.prompt_tokens) * (1 - kLateLoss * late);
   double taken = kWorthPerEngineSecond * placement.engine_seconds;
-  double price = placement.harm + placement.busy * placement.busy * taken;
-  double share = demand.came_back ? kComeBackShare : 1;
+  double price = placement.cost_to_streams + placement.utilization * placement.utilization * taken;
+  double share = demand.was_refused_before ? kComeBackShare : 1;
   if (price > share * earned) return true;
   bool slots_bind = placement.slot_wait_ms > kHopelessSlotShare * demand.objective_ms;
   return slots_bind && placement.first_event_ms > demand.objective_ms;
--- a/src/serving/retry_bucket.cc
+++ b/src/serving/retry_bucket.cc
@@ -45,13 +45,13 @@
   this->saved_share = std::min(this->saved_share + (1 - kSavedShare) * windows, kSavedShare);
 }
 
-double RetryBucket::Left(Time now) {
+double RetryBucket::Available(Time now) {
   this->Fill(now);
   return this->from_requests + this->saved_share * this->SlackPart();
 }
 
 bool RetryBucket::TakeRetry(Time now) {
-  if (this->Left(now) < 1 - kRounding) return false;
+  if (this->Available(now) < 1 - kRounding) return false;
   double of_requests = std::min(this->from_requests, 1.0);
   this->from_requests -= of_requests;
   double of_slack = 1 - of_requests;
--- a/src/serving/retry_bucket.h
+++ b/src/serving/retry_bucket.h
@@ -33,9 +33,9 @@
 namespace gullward {
 
 // Processes that the slack is divided among until it is known how many there are.
-inline constexpr double kUnknownSharers = 40;
+inline constexpr double kAssumedProcesses = 40;
 // Others may start that are not known yet; then this many times the known ones.
-inline constexpr double kSharersMargin = 1.4;
+inline constexpr double kProcessMargin = 1.4;
 
 // What the operator allows for one service.
 struct RetryBounds {
@@ -66,15 +66,15 @@
   void AddRequest(Time now) { this->AddRequest(now, now); }
 
   // Says how many processes there are, this one included.
-  void SetProcesses(size_t count) {
-    this->sharers = std::max(1.0, kSharersMargin * static_cast<double>(count));
+  void SetProcessCount(size_t count) {
+    this->sharers = std::max(1.0, kProcessMargin * static_cast<double>(count));
   }
 
   // Takes one retry if there is credit for it.
   bool TakeRetry(Time now);
 
   // Credit for so many retries.
-  double Left(Time now);
+  double Available(Time now);
 
  private:
   // Requests of one fifth of a window.
@@ -90,7 +90,7 @@
   void Fill(Time now);
 
   RetryBounds bounds;
-  double sharers = kUnknownSharers;
+  double sharers = kAssumedProcesses;
   // When the slack last flowed in.
   Time filled_at;
   // Of the part of the slack, so that it follows the number of processes.
--- a/src/serving/engine_patience.h
+++ b/src/serving/silence_timeout.h
@@ -12,8 +12,8 @@
 //   if (silent < PatienceForFirst(expected_ms, objective_ms)) return;
 //   if (ExcusesSilence(load, engine.slots, silent)) return;  // busy, by all we know
 
-#ifndef GULLWARD_SERVING_ENGINE_PATIENCE_H_
-#define GULLWARD_SERVING_ENGINE_PATIENCE_H_
+#ifndef GULLWARD_SERVING_SILENCE_TIMEOUT_H_
+#define GULLWARD_SERVING_SILENCE_TIMEOUT_H_
 
 #include <algorithm>
 
@@ -24,17 +24,17 @@
 
 // The shortest silence that makes us try another engine.  Callers give a stream
 // up after two seconds, so there must be time for the other one.
-inline constexpr Duration kLeastPatience = milliseconds(900);
+inline constexpr Duration kMinSilenceTimeout = milliseconds(900);
 // A first event may take this much longer than expected, and so may a pause.
 inline constexpr double kPatienceFactor = 3;
 // An engine that is known to read may be silent for this much longer than that
 // reading should take, but no longer than callers wait.
 inline constexpr double kReadingFactor = 1.5;
-inline constexpr Duration kLongestPatience = milliseconds(1700);
+inline constexpr Duration kMaxSilenceTimeout = milliseconds(1700);
 
 // The silence that needs no excuse where the next event was expected within so long.
-inline Duration PatienceWith(double expected_ms) {
-  return std::max<Duration>(FromSeconds(kPatienceFactor * expected_ms / 1000), kLeastPatience);
+inline Duration SilenceTimeout(double expected_ms) {
+  return std::max<Duration>(FromSeconds(kPatienceFactor * expected_ms / 1000), kMinSilenceTimeout);
 }
 
 // A first event that is late anyway is waited for up to so many times its objective.
@@ -44,20 +44,20 @@
 
 // The same for a first event with an objective: where a second engine, left to at the
 // usual time, could not meet it either, the wait is longer.
-inline Duration PatienceForFirst(double expected_ms, double objective_ms) {
-  Duration usual = PatienceWith(expected_ms);
+inline Duration FirstEventTimeout(double expected_ms, double objective_ms) {
+  Duration usual = SilenceTimeout(expected_ms);
   bool second_is_in_time = ToSeconds(usual) * 1000 + expected_ms <= objective_ms;
   if (second_is_in_time) return usual;
   return std::max<Duration>(usual, FromSeconds(kLateObjectives * objective_ms / 1000));
 }
 
 // Whether what is known to be on an engine with so many slots explains its silence.
-inline bool ExcusesSilence(const EngineLoad& load, int slots, Duration silent) {
-  if (silent >= kLongestPatience) return false;
+inline bool LoadExplainsSilence(const EngineLoad& load, int slots, Duration silent) {
+  if (silent >= kMaxSilenceTimeout) return false;
   bool full = load.requests > slots;
   return full || ToSeconds(silent) * 1000 < kReadingFactor * load.reading_ms;
 }
 
 }  // namespace gullward
 
-#endif  // GULLWARD_SERVING_ENGINE_PATIENCE_H_
+#endif  // GULLWARD_SERVING_SILENCE_TIMEOUT_H_
--- a/src/serving/spill.cc
+++ b/src/serving/spill.cc
@@ -13,7 +13,7 @@
 std::set<std::string> Spill::Engines(Time now) const {
   std::set<std::string> engines;
   for (const Offer& offer : this->offers) {
-    bool holds = now - offer.heard <= LoadBook::kPeerSilence;
+    bool holds = now - offer.heard <= LoadTracker::kPeerTimeout;
     if (holds) engines.insert(offer.engines.begin(), offer.engines.end());
   }
   return engines;
--- a/src/serving/spill.h
+++ b/src/serving/spill.h
@@ -33,7 +33,7 @@
   // Engines that one gateway tells of: as many as fit into one datagram.
   static constexpr size_t kEnginesTold = 12;
   // Gateways of other cells that one round tells.
-  static constexpr size_t kReceivers = 2;
+  static constexpr size_t kReceiversPerRound = 2;
   // Senders whose word is kept.  Two arrive each half second on the mean.
   static constexpr size_t kSenders = 3;
 
--- a/src/serving/testing/cell_test.cc
+++ b/src/serving/testing/cell_test.cc
@@ -83,7 +83,7 @@
         // A hash deals out unevenly.
         // Where gateways are few, so many engines for each; a cell has two to eight of them.
         size_t for_few_gateways = 12 * row.engines / row.gateways;
-        BOOST_TEST(count <= std::max(3 * CellMap::kMostEngines / 2, for_few_gateways));
+        BOOST_TEST(count <= std::max(3 * CellMap::kMaxEngines / 2, for_few_gateways));
         BOOST_TEST(count >= CellMap::kLeastEngines / 2);
       }
       for (const auto& [cell, count] : gateways_of) {
@@ -193,7 +193,7 @@
 // Fills every engine of the home cell.
 void FillHome(Fleet* fleet) {
   std::map<std::string, EngineLoad> loads;
-  for (const HomeEngine& engine : fleet->plan(kStart).Of("pool").engines) {
+  for (const HomeEngine& engine : fleet->plan(kStart).ForService("pool").engines) {
     loads[engine.incarnation] = FullLoad();
   }
   fleet->loads().ApplyPeer("box-1", 1, 1, loads, kStart);
@@ -221,14 +221,14 @@
     BOOST_TEST(!fleet.Choose(kPool, {}, {}, kStart)->spilled);
     Fleet offering(RetryBounds{}, "box-9", Hall(1));
     for (const EngineRecord& engine : Engines(150, 5)) offering.directory().Update(engine);
-    std::map<std::string, EngineLoad> offer = offering.Offer(kStart);
+    std::map<std::string, EngineLoad> offer = offering.EnginesToOffer(kStart);
     BOOST_TEST(offer.size() == Spill::kEnginesTold);
-    fleet.HearOffer("box-9", 1, 1, offer, kStart);
+    fleet.ReceiveOffer("box-9", 1, 1, offer, kStart);
     std::optional<FleetChoice> choice = fleet.Choose(kPool, {}, {}, kStart);
     BOOST_TEST(choice->spilled == spill);
     BOOST_TEST((choice->engine.data_centre == Hall(1)) == spill);
     // What was offered long ago is known no longer.
-    Time later = kStart + LoadBook::kPeerSilence + milliseconds(1);
+    Time later = kStart + LoadTracker::kPeerTimeout + milliseconds(1);
     FillHome(&fleet);
     BOOST_TEST(!fleet.Choose(kPool, {}, {}, later)->spilled);
   }
@@ -256,24 +256,24 @@
 // engines; the work there is not counted twice.
 BOOST_AUTO_TEST_CASE(AnOfferOfHomeEnginesSaysNothing) {
   Fleet fleet = FleetOf(Engines(150, 5));
-  const std::string home = fleet.plan(kStart).Of("pool").engines.front().incarnation;
-  fleet.HearOffer("box-9", 1, 1, {{home, FullLoad()}}, kStart);
-  BOOST_TEST((fleet.loads().Of(home, kStart) == EngineLoad{}));
+  const std::string home = fleet.plan(kStart).ForService("pool").engines.front().incarnation;
+  fleet.ReceiveOffer("box-9", 1, 1, {{home, FullLoad()}}, kStart);
+  BOOST_TEST((fleet.loads().LoadOn(home, kStart) == EngineLoad{}));
 }
 
 // What is kept of peers' words is bounded by what is current, not by all that was ever said.
 BOOST_AUTO_TEST_CASE(WordsOfPeersAreForgotten) {
-  LoadBook book;
+  LoadTracker book;
   Time now = kStart;
   for (size_t i = 0; i < 1000; ++i) {
     std::string engine = "e-" + std::to_string(i);
     book.ApplyPeer("box-" + std::to_string(i % 7), 1, i + 1, {{engine, FullLoad()}}, now);
     now += milliseconds(100);
     book.ForgetSilent(now);
-    BOOST_REQUIRE(book.words() <= 17u);
+    BOOST_REQUIRE(book.peer_entries() <= 17u);
   }
   book.ForgetSilent(now + seconds(2));
-  BOOST_TEST(book.words() == 0u);
+  BOOST_TEST(book.peer_entries() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(AGatewaysEntryIsReadAsItWasWritten) {
--- a/src/serving/testing/engine_notices_test.cc
+++ b/src/serving/testing/engine_notices_test.cc
@@ -53,7 +53,7 @@
   for (const Row& row : table) {
     EngineNotices notices;
     for (const Answer& answer : row.answers) {
-      notices.Hear(kEngine, answer.notice, At(answer.sent_ms), At(answer.came_ms));
+      notices.Receive(kEngine, answer.notice, At(answer.sent_ms), At(answer.came_ms));
     }
     BOOST_TEST((notices.LimitOf(kEngine) == row.limit), row.name);
   }
@@ -61,26 +61,26 @@
 
 BOOST_AUTO_TEST_CASE(LeavingHoldsForTheLifeOfTheEngine) {
   EngineNotices notices;
-  notices.Hear(kEngine, kLeaving, At(0), At(10));
-  notices.Hear(kEngine, kNothing, At(20), At(30));
+  notices.Receive(kEngine, kLeaving, At(0), At(10));
+  notices.Receive(kEngine, kNothing, At(20), At(30));
   BOOST_TEST(notices.IsLeaving(kEngine));
   BOOST_TEST(!notices.IsLeaving("i-7@1764720009999"));
   // Off the list and back on it.
   notices.Forget({}, At(1000));
   BOOST_TEST(notices.IsLeaving(kEngine));
   notices.Forget({kEngine}, At(2000));
-  notices.Forget({}, At(2000) + EngineNotices::kKeptFor - milliseconds(1));
+  notices.Forget({}, At(2000) + EngineNotices::kRetention - milliseconds(1));
   BOOST_TEST(notices.IsLeaving(kEngine));
-  notices.Forget({}, At(2000) + EngineNotices::kKeptFor);
+  notices.Forget({}, At(2000) + EngineNotices::kRetention);
   BOOST_TEST(!notices.Has(kEngine));
 }
 
 BOOST_AUTO_TEST_CASE(APauseHoldsUntilItsEnd) {
   EngineNotices notices;
-  BOOST_TEST(notices.Hear(kEngine, Rest(seconds(3)), At(0), At(10)).rest);
+  BOOST_TEST(notices.Receive(kEngine, Rest(seconds(3)), At(0), At(10)).rest);
   // A shorter one that is asked for meanwhile does not shorten it.
-  BOOST_TEST(!notices.Hear(kEngine, Rest(seconds(1)), At(0), At(20)).rest);
-  notices.Hear(kEngine, kNothing, At(30), At(40));
+  BOOST_TEST(!notices.Receive(kEngine, Rest(seconds(1)), At(0), At(20)).rest);
+  notices.Receive(kEngine, kNothing, At(30), At(40));
   BOOST_TEST((notices.RestLeft(kEngine, At(10)) == seconds(3)));
   BOOST_TEST((notices.RestLeft(kEngine, At(3009)) == milliseconds(1)));
   BOOST_TEST((notices.RestLeft(kEngine, At(3010)) == Duration::zero()));
@@ -91,26 +91,26 @@
 BOOST_AUTO_TEST_CASE(ChangesAreToldOnce) {
   EngineNotices notices;
   using Change = EngineNotices::Change;
-  BOOST_TEST((notices.Hear(kEngine, kNothing, At(0), At(1)) == Change{}));
-  BOOST_TEST((notices.Hear(kEngine, Limit(2), At(0), At(2)) == Change{.limit = true}));
-  BOOST_TEST((notices.Hear(kEngine, Limit(2), At(0), At(3)) == Change{}));
-  BOOST_TEST((notices.Hear(kEngine, kNothing, At(4), At(5)) == Change{.limit = true}));
-  BOOST_TEST((notices.Hear(kEngine, kLeaving, At(6), At(7)) == Change{.leaving = true}));
-  BOOST_TEST((notices.Hear(kEngine, kLeaving, At(8), At(9)) == Change{}));
+  BOOST_TEST((notices.Receive(kEngine, kNothing, At(0), At(1)) == Change{}));
+  BOOST_TEST((notices.Receive(kEngine, Limit(2), At(0), At(2)) == Change{.limit = true}));
+  BOOST_TEST((notices.Receive(kEngine, Limit(2), At(0), At(3)) == Change{}));
+  BOOST_TEST((notices.Receive(kEngine, kNothing, At(4), At(5)) == Change{.limit = true}));
+  BOOST_TEST((notices.Receive(kEngine, kLeaving, At(6), At(7)) == Change{.leaving = true}));
+  BOOST_TEST((notices.Receive(kEngine, kLeaving, At(8), At(9)) == Change{}));
 }
 
 bool Nobody(const std::string&) { return false; }
 bool Everybody(const std::string&) { return true; }
 
-NoticeWord WordOf(std::optional<double> per_s, Duration age) {
-  return {.limit = LimitWord{per_s, age}};
+NoticeReport WordOf(std::optional<double> per_s, Duration age) {
+  return {.limit = LimitReport{per_s, age}};
 }
 
 // Words of other gateways come in any order, and are about different moments.
 BOOST_AUTO_TEST_CASE(OfALimitTheLatestIsBelievedWhoeverTellsIt) {
   struct Row {
     const char* name;
-    std::vector<NoticeWord> words;
+    std::vector<NoticeReport> words;
     std::optional<double> limit;
   };
   const Row table[] = {
@@ -125,50 +125,50 @@
   };
   for (const Row& row : table) {
     EngineNotices notices;
-    for (const NoticeWord& word : row.words) notices.HearWord(kEngine, word, At(60'000));
+    for (const NoticeReport& word : row.words) notices.ReceiveReport(kEngine, word, At(60'000));
     BOOST_TEST((notices.LimitOf(kEngine) == row.limit), row.name);
   }
 }
 
 BOOST_AUTO_TEST_CASE(ChangesAreToldOnAtOnceAndSharersTellAgain) {
   EngineNotices notices;
-  notices.Hear(kEngine, Limit(2), At(0), At(100));
-  auto words = notices.WordsToTell(/*all=*/false, Nobody, At(150));
+  notices.Receive(kEngine, Limit(2), At(0), At(100));
+  auto words = notices.ReportsToSend(/*all=*/false, Nobody, At(150));
   BOOST_REQUIRE(words.count(kEngine) == 1u);
   BOOST_TEST((words[kEngine] == WordOf(2, milliseconds(50))));
-  BOOST_TEST(notices.WordsToTell(false, Everybody, At(160)).empty());
+  BOOST_TEST(notices.ReportsToSend(false, Everybody, At(160)).empty());
   // Once more in a round, in case that it was lost; then by those who share the limit.
-  BOOST_TEST(notices.WordsToTell(true, Nobody, At(2000)).size() == 1u);
-  BOOST_TEST(notices.WordsToTell(true, Nobody, At(5000)).empty());
-  BOOST_TEST(notices.WordsToTell(true, Everybody, At(5000)).size() == 1u);
+  BOOST_TEST(notices.ReportsToSend(true, Nobody, At(2000)).size() == 1u);
+  BOOST_TEST(notices.ReportsToSend(true, Nobody, At(5000)).empty());
+  BOOST_TEST(notices.ReportsToSend(true, Everybody, At(5000)).size() == 1u);
   // Its end too.
-  notices.Hear(kEngine, kNothing, At(6000), At(6100));
-  words = notices.WordsToTell(false, Nobody, At(6100));
+  notices.Receive(kEngine, kNothing, At(6000), At(6100));
+  words = notices.ReportsToSend(false, Nobody, At(6100));
   BOOST_TEST((words[kEngine] == WordOf(std::nullopt, milliseconds(100))));
   // What others told is not told on by whoever has no share.
   EngineNotices other;
-  other.HearWord(kEngine, WordOf(2, seconds(1)), At(0));
-  BOOST_TEST(other.WordsToTell(true, Nobody, At(100)).empty());
+  other.ReceiveReport(kEngine, WordOf(2, seconds(1)), At(0));
+  BOOST_TEST(other.ReportsToSend(true, Nobody, At(100)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(ThatAnEngineLeavesIsToldAndHoldsForGood) {
   EngineNotices notices;
-  notices.Hear(kEngine, kLeaving, At(0), At(100));
+  notices.Receive(kEngine, kLeaving, At(0), At(100));
   BOOST_TEST(!notices.Admits(kEngine, 1, At(100)));
-  BOOST_TEST(!notices.OpensIn(kEngine, 1, At(100)).has_value());
-  auto words = notices.WordsToTell(/*all=*/false, Nobody, At(150));
-  BOOST_TEST((words[kEngine] == NoticeWord{.leaving = true}));
+  BOOST_TEST(!notices.TimeUntilAdmission(kEngine, 1, At(100)).has_value());
+  auto words = notices.ReportsToSend(/*all=*/false, Nobody, At(150));
+  BOOST_TEST((words[kEngine] == NoticeReport{.leaving = true}));
   EngineNotices other;
-  BOOST_TEST(
-      (other.HearWord(kEngine, words[kEngine], At(160)) == EngineNotices::Change{.leaving = true}));
+  BOOST_TEST((other.ReceiveReport(kEngine, words[kEngine], At(160)) ==
+              EngineNotices::Change{.leaving = true}));
   BOOST_TEST(!other.Admits(kEngine, 1, At(100'000)));
 }
 
 BOOST_AUTO_TEST_CASE(WordsTravelUnchanged) {
   LoadDigest digest;
   digest.box = "box-1";
-  digest.notices = {{"i-1", {LimitWord{2.5, milliseconds(40)}, false}},
-                    {"i-2", {LimitWord{std::nullopt, seconds(1)}, true}},
+  digest.notices = {{"i-1", {LimitReport{2.5, milliseconds(40)}, false}},
+                    {"i-2", {LimitReport{std::nullopt, seconds(1)}, true}},
                     {"i-3", {std::nullopt, true}}};
   std::optional<LoadDigest> read = DecodeDigest(EncodeDigest(digest));
   BOOST_REQUIRE(read.has_value());
@@ -178,22 +178,22 @@
 BOOST_AUTO_TEST_CASE(ALimitAdmitsWhatTheShareEarns) {
   EngineNotices notices;
   BOOST_TEST(notices.Admits(kEngine, 0, At(0)));
-  notices.Hear(kEngine, Limit(2), At(0), At(0));
+  notices.Receive(kEngine, Limit(2), At(0), At(0));
   BOOST_TEST(!notices.Admits(kEngine, 0.5, At(0)));
-  BOOST_TEST((notices.OpensIn(kEngine, 0.5, At(0)) == seconds(1)));
+  BOOST_TEST((notices.TimeUntilAdmission(kEngine, 0.5, At(0)) == seconds(1)));
   BOOST_TEST(notices.Admits(kEngine, 0.5, At(1000)));
   notices.NoteSent(kEngine, 0.5, At(1000));
   BOOST_TEST(!notices.Admits(kEngine, 0.5, At(1001)));
   // Without a share nothing is known of when.
   BOOST_TEST(!notices.Admits(kEngine, 0, At(9000)));
-  BOOST_TEST(!notices.OpensIn(kEngine, 0, At(9000)).has_value());
-  notices.Hear(kEngine, kNothing, At(9001), At(9002));
+  BOOST_TEST(!notices.TimeUntilAdmission(kEngine, 0, At(9000)).has_value());
+  notices.Receive(kEngine, kNothing, At(9001), At(9002));
   BOOST_TEST(notices.Admits(kEngine, 0, At(9003)));
 }
 
 BOOST_AUTO_TEST_CASE(AnEngineThatTakesNothingIsAskedNowAndThen) {
   EngineNotices notices;
-  notices.Hear(kEngine, Limit(0), At(0), At(0));
+  notices.Receive(kEngine, Limit(0), At(0), At(0));
   BOOST_TEST(!notices.Admits(kEngine, 1, At(0)));
   BOOST_TEST(!notices.Admits(kEngine, 1, At(9'000)));
   BOOST_TEST(notices.Admits(kEngine, 1, At(10'000)));
@@ -202,7 +202,7 @@
 BOOST_AUTO_TEST_CASE(MemoryIsBoundedAndWhatIsDroppedIsCounted) {
   EngineNotices notices;
   for (size_t i = 0; i <= EngineNotices::kCapacity; ++i) {
-    notices.Hear(absl::StrCat("i-", i), kLeaving, At(0), At(static_cast<int>(i)));
+    notices.Receive(absl::StrCat("i-", i), kLeaving, At(0), At(static_cast<int>(i)));
   }
   BOOST_TEST(notices.leaving() == EngineNotices::kCapacity);
   BOOST_TEST(notices.forgotten() == 1u);
--- a/src/serving/testing/incarnation_test.cc
+++ b/src/serving/testing/incarnation_test.cc
@@ -32,12 +32,12 @@
   directory.Update(Life(5));
   directory.Update(Life(9));
   directory.Update(Life(5));
-  BOOST_TEST(directory.Find("e-1")->born == 9);
+  BOOST_TEST(directory.Find("e-1")->started_at_ms == 9);
   directory.Replace({Life(7)}, kStart, Time{});
-  BOOST_TEST(directory.Find("e-1")->born == 9);
+  BOOST_TEST(directory.Find("e-1")->started_at_ms == 9);
   // An entry that does not say when comes from before those that do.
   directory.Update(Life(0));
-  BOOST_TEST(directory.Find("e-1")->born == 9);
+  BOOST_TEST(directory.Find("e-1")->started_at_ms == 9);
 }
 
 BOOST_AUTO_TEST_CASE(ALaterLifeOfAnEngineThatWasLeavingMayGetWork) {
@@ -56,9 +56,9 @@
 BOOST_AUTO_TEST_CASE(OnlyTheLifeThatWasNotAtItsAddressIsForgotten) {
   EngineDirectory directory;
   directory.Update(Life(9));
-  directory.Forget(Life(5));
+  directory.RemoveIncarnation(Life(5));
   BOOST_TEST(directory.size() == 1u);
-  directory.Forget(Life(9));
+  directory.RemoveIncarnation(Life(9));
   BOOST_TEST(directory.size() == 0u);
 }
 
@@ -72,7 +72,7 @@
   // An attempt of before ends now.
   fleet.NoteFailure(Life(5).Incarnation(), /*unreachable=*/true, kStart);
   BOOST_TEST(fleet.HealthOf(Life(9).Incarnation()).FailureRate(kStart) == 0);
-  BOOST_TEST(fleet.SetAside(kStart).count(Life(9).Incarnation()) == 0u);
+  BOOST_TEST(fleet.SetAsideEngines(kStart).count(Life(9).Incarnation()) == 0u);
   BOOST_TEST(fleet.Choose(kPool, {}, {}, kStart)->candidates == 2u);
 }
 
@@ -81,21 +81,21 @@
   fleet.directory().Update(Life(9));
   for (int i = 2; i < 9; ++i) fleet.directory().Update(Life(1, "e-" + std::to_string(i)));
   for (const char* peer : {"box-2", "box-3", "box-4"}) {
-    fleet.HearSetAside(peer, {Life(5).Incarnation()}, kStart);
+    fleet.ReceiveSetAside(peer, {Life(5).Incarnation()}, kStart);
   }
   BOOST_TEST(fleet.Choose(kPool, {}, {}, kStart)->candidates == 8u);
   for (const char* peer : {"box-2", "box-3"}) {
-    fleet.HearSetAside(peer, {Life(9).Incarnation()}, kStart);
+    fleet.ReceiveSetAside(peer, {Life(9).Incarnation()}, kStart);
   }
   BOOST_TEST(fleet.Choose(kPool, {}, {}, kStart)->candidates == 7u);
 }
 
 BOOST_AUTO_TEST_CASE(WorkOnAnEarlierLifeIsNoLoadOfTheNextOne) {
-  LoadBook book;
+  LoadTracker book;
   book.Begin(1, {WorkPart{Life(5).Incarnation(), 1000, 50, true, 200}}, kStart);
   book.ApplyPeer("box-2", 7, 3, {{Life(5).Incarnation(), Requests(1)}}, kStart);
-  BOOST_TEST(book.Of(Life(5).Incarnation(), kStart).requests == 2);
-  BOOST_TEST((book.Of(Life(9).Incarnation(), kStart) == EngineLoad{}));
+  BOOST_TEST(book.LoadOn(Life(5).Incarnation(), kStart).requests == 2);
+  BOOST_TEST((book.LoadOn(Life(9).Incarnation(), kStart) == EngineLoad{}));
 }
 
 BOOST_AUTO_TEST_CASE(ARequestMayTryTheNextLifeOfAnEngineThatItTried) {
@@ -200,9 +200,9 @@
           break;
       }
       const EngineRecord* known = fleet.directory().Find(id);
-      BOOST_REQUIRE((known == nullptr ? -1 : known->born) == model.BornOf(id));
+      BOOST_REQUIRE((known == nullptr ? -1 : known->started_at_ms) == model.BornOf(id));
       if (known == nullptr) continue;
-      EngineLoad load = fleet.loads().Of(known->Incarnation(), kStart);
+      EngineLoad load = fleet.loads().LoadOn(known->Incarnation(), kStart);
       BOOST_REQUIRE(load.requests == model.RequestsOn(id));
     }
   }
--- a/src/serving/testing/serving_test.cc
+++ b/src/serving/testing/serving_test.cc
@@ -9,13 +9,13 @@
 #include "serving/copy_schedule.h"
 #include "serving/engine_directory.h"
 #include "serving/engine_health.h"
-#include "serving/engine_patience.h"
 #include "serving/event_splitter.h"
 #include "serving/fleet.h"
 #include "serving/freshness.h"
 #include "serving/peer_freshness.h"
 #include "serving/proof_schedule.h"
 #include "serving/retry_bucket.h"
+#include "serving/silence_timeout.h"
 
 namespace gullward {
 namespace {
@@ -54,7 +54,7 @@
   for (AttemptResult result : results) {
     for (Repeat repeat : {Repeat::kAllowed, Repeat::kNever, Repeat::kResumeStream}) {
       for (int bits = 0; bits < 8; ++bits) {
-        for (int attempts = 1; attempts <= kMostAttempts + 1; ++attempts) {
+        for (int attempts = 1; attempts <= kMaxAttempts + 1; ++attempts) {
           RequestState state;
           state.repeat = repeat;
           state.answer_begun = (bits & 1) != 0;
@@ -66,13 +66,13 @@
           state.attempts_run = state.may_have_run || !not_run ? 1 : 0;
           if (!not_run) state.may_have_run = true;
           NextStep step = DecideNext(result, state);
-          NextStep rest = WithoutRetry(result, state);
+          NextStep rest = DecideWithoutRetry(result, state);
           // What may have run and must not twice is never tried again.
           bool ran = state.may_have_run && repeat == Repeat::kNever;
           if (ran && !not_run) BOOST_TEST((step != NextStep::kRetry));
           if (ran) BOOST_TEST((step != NextStep::kRefuse && rest != NextStep::kRefuse));
           if (!state.time_left) BOOST_TEST((step != NextStep::kRetry));
-          if (attempts >= kMostAttempts) BOOST_TEST((step != NextStep::kRetry));
+          if (attempts >= kMaxAttempts) BOOST_TEST((step != NextStep::kRetry));
           BOOST_TEST((rest != NextStep::kRetry));
           // A begun answer is never followed by another head.
           bool new_head = rest == NextStep::kRefuse || rest == NextStep::kFail;
@@ -96,7 +96,7 @@
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<RetryBucket> windows(kProcesses, RetryBucket(bounds));
-    for (RetryBucket& window : windows) window.SetProcesses(kProcesses);
+    for (RetryBucket& window : windows) window.SetProcessCount(kProcesses);
     std::vector<Time> requests;
     std::vector<Time> retries;
     Time now = kStart;
@@ -126,8 +126,8 @@
 BOOST_AUTO_TEST_CASE(TheSlackIsDividedAmongTheProcessesThereAre) {
   RetryBucket window(RetryBounds{seconds(10), 0.2, 132});
   auto left = [&](size_t processes) {
-    window.SetProcesses(processes);
-    return window.Left(kStart);
+    window.SetProcessCount(processes);
+    return window.Available(kStart);
   };
   BOOST_TEST(left(28) * 28 <= 132);
   BOOST_TEST(left(5) > left(28));
@@ -163,7 +163,7 @@
         if (some.last_id) all.last_id = some.last_id;
       }
       BOOST_REQUIRE((all == SlowSplit(text)));
-      BOOST_REQUIRE(splitter.has_rest());
+      BOOST_REQUIRE(splitter.has_partial_event());
     }
   }
   EventSplitter splitter;
@@ -259,26 +259,26 @@
 BOOST_AUTO_TEST_CASE(AFailingEngineIsSetAsideAndItsRecordFades) {
   EngineHealth health;
   health.AddFailure(kStart);
-  BOOST_TEST(!health.IsOut(kStart));
+  BOOST_TEST(!health.IsSetAside(kStart));
   health.AddFailure(kStart);
-  BOOST_TEST(health.IsOut(kStart));
-  BOOST_TEST(!health.IsOut(kStart + EngineHealth::kFirstPause));
+  BOOST_TEST(health.IsSetAside(kStart));
+  BOOST_TEST(!health.IsSetAside(kStart + EngineHealth::kFirstPause));
   Duration longest{};
   for (int i = 0; i < 30; ++i) health.AddFailure(kStart);
-  while (health.IsOut(kStart + longest)) longest += milliseconds(10);
-  BOOST_TEST((longest <= EngineHealth::kLongestPause));
+  while (health.IsSetAside(kStart + longest)) longest += milliseconds(10);
+  BOOST_TEST((longest <= EngineHealth::kMaxPause));
   double before = health.FailureRate(kStart);
   BOOST_TEST(health.FailureRate(kStart + EngineHealth::kHalfLife) < before * 0.51);
   health.AddSuccess(kStart);
-  BOOST_TEST(!health.IsOut(kStart));
+  BOOST_TEST(!health.IsSetAside(kStart));
   EngineHealth unreachable;
   unreachable.AddCertainFailure(kStart);
-  BOOST_TEST(unreachable.IsOut(kStart));
+  BOOST_TEST(unreachable.IsSetAside(kStart));
 }
 
 BOOST_AUTO_TEST_CASE(SilenceIsBorneAsLongAsItIsExpectedOrExplained) {
-  BOOST_TEST((PatienceWith(100) == kLeastPatience));
-  BOOST_TEST((PatienceWith(1000) == milliseconds(3000)));
+  BOOST_TEST((SilenceTimeout(100) == kMinSilenceTimeout));
+  BOOST_TEST((SilenceTimeout(1000) == milliseconds(3000)));
   struct Case {
     const char* what;
     int requests;
@@ -292,14 +292,14 @@
       {"it should have been read by now", 1, 700, milliseconds(1100), false},
       {"more requests than slots", 9, 0, milliseconds(1000), true},
       {"all slots taken", 8, 0, milliseconds(1000), false},
-      {"callers leave", 9, 5000, kLongestPatience, false},
+      {"callers leave", 9, 5000, kMaxSilenceTimeout, false},
   };
   for (const Case& one : cases) {
     EngineLoad load;
     load.requests = one.requests;
     load.reading_ms = one.reading_ms;
     BOOST_TEST_CONTEXT(one.what) {
-      BOOST_TEST(ExcusesSilence(load, /*slots=*/8, one.silent) == one.excused);
+      BOOST_TEST(LoadExplainsSilence(load, /*slots=*/8, one.silent) == one.excused);
     }
   }
 }
@@ -322,7 +322,7 @@
   };
   for (const Case& one : cases) {
     BOOST_TEST_CONTEXT(one.what) {
-      BOOST_TEST((PatienceForFirst(one.expected_ms, one.objective_ms) == one.patience));
+      BOOST_TEST((FirstEventTimeout(one.expected_ms, one.objective_ms) == one.patience));
     }
   }
 }
@@ -374,16 +374,16 @@
   Service service;
   service.name = "apps";
   std::string first = fleet.Choose(service, {}, {}, kStart)->engine.id;
-  for (const char* peer : {"a", "b"}) fleet.HearSetAside(peer, {first}, kStart);
+  for (const char* peer : {"a", "b"}) fleet.ReceiveSetAside(peer, {first}, kStart);
   BOOST_TEST(fleet.Choose(service, {}, {}, kStart)->engine.id != first);
   fleet.HealthOf(first).AddSuccess(kStart);
   BOOST_TEST(fleet.Choose(service, {}, {}, kStart)->engine.id == first);
   // One failure of our own is enough then.
   fleet.NoteFailure(first, /*unreachable=*/false, kStart);
-  BOOST_TEST((fleet.SetAside(kStart) == std::set<std::string>{first}));
+  BOOST_TEST((fleet.SetAsideEngines(kStart) == std::set<std::string>{first}));
   // A process that finds most engines dead says nothing of them.
   for (int i = 0; i < 12; ++i) fleet.NoteFailure("e" + std::to_string(i), true, kStart);
-  BOOST_TEST(fleet.SetAside(kStart).empty());
+  BOOST_TEST(fleet.SetAsideEngines(kStart).empty());
 }
 
 // Twelve engines: e0 could not be reached once, the others run forty requests each.
@@ -418,9 +418,9 @@
     service.name = "apps";
     BOOST_TEST_CONTEXT(one.name) {
       BOOST_TEST((fleet.Choose(service, {}, {}, kStart)->engine.id == "e0") == one.gets_e0);
-      for (const char* peer : {"a", "b"}) fleet.HearSetAside(peer, {"e1"}, kStart);
+      for (const char* peer : {"a", "b"}) fleet.ReceiveSetAside(peer, {"e1"}, kStart);
       fleet.NoteFailure("e1", /*unreachable=*/false, kStart);
-      BOOST_TEST((fleet.SetAside(kStart) == one.set_aside_after_named));
+      BOOST_TEST((fleet.SetAsideEngines(kStart) == one.set_aside_after_named));
     }
   }
 }
@@ -600,23 +600,23 @@
 }
 
 BOOST_AUTO_TEST_CASE(PeersWorkIsCountedOnceAndForgottenWhenTheyFallSilent) {
-  LoadBook book;
+  LoadTracker book;
   EngineLoad three;
   three.requests = 3;
   book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 3);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 3);
   // Late and doubled datagrams change nothing.
   book.ApplyPeer("p", 1, 4, {{"e", EngineLoad{}}}, kStart);
   book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 3);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 3);
   book.Begin(1, {{"e", 5000, 20, true, 200}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 4);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 4);
   // A new life of the peer starts from nothing.
   book.ApplyPeer("p", 2, 1, {{"f", three}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 1);
-  BOOST_TEST(book.Of("f", kStart + LoadBook::kPeerSilence + milliseconds(1)).requests == 0);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 1);
+  BOOST_TEST(book.LoadOn("f", kStart + LoadTracker::kPeerTimeout + milliseconds(1)).requests == 0);
   book.End(1);
-  BOOST_TEST((book.Of("e", kStart) == EngineLoad{}));
+  BOOST_TEST((book.LoadOn("e", kStart) == EngineLoad{}));
 }
 
 BOOST_AUTO_TEST_CASE(PeersAreToldOfWhatWouldChangeTheirChoice) {
@@ -652,35 +652,36 @@
   };
   for (const Case& one : cases) {
     BOOST_TEST_CONTEXT(one.change) {
-      BOOST_TEST(IsNews(one.told, one.now) == one.news);
-      BOOST_TEST(IsNews(one.told, one.now, /*count_reading=*/false) == one.news_without_reading);
+      BOOST_TEST(IsSignificantChange(one.told, one.now) == one.news);
+      BOOST_TEST(IsSignificantChange(one.told, one.now, /*count_reading=*/false) ==
+                 one.news_without_reading);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(AStreamThatIsLateHasNothingMoreToLose) {
-  LoadBook book;
+  LoadTracker book;
   book.Begin(1, {{"e", 5000, 30, true, 250}}, kStart);
   book.Begin(2, {{"e", 5000, 30, true, 250}}, kStart);
   book.Begin(3, {{"e", 0, 60, true, 0}}, kStart);
-  book.AnswerIsLate(1);
-  book.AnswerIsLate(3);
-  book.AnswerIsLate(4);
-  EngineLoad load = book.Of("e", kStart);
+  book.MarkAnswerLate(1);
+  book.MarkAnswerLate(3);
+  book.MarkAnswerLate(4);
+  EngineLoad load = book.LoadOn("e", kStart);
   BOOST_TEST(load.requests == 3);
   BOOST_TEST_REQUIRE(load.streams.size() == 2u);
   BOOST_TEST((load.streams[0] == PauseClass{250, 1, 5000}));
-  BOOST_TEST((load.streams[1] == PauseClass{kPauseOfLateStreams, 1, 5000}));
+  BOOST_TEST((load.streams[1] == PauseClass{kLateStreamPauseMs, 1, 5000}));
 }
 
 BOOST_AUTO_TEST_CASE(OnlyTheOldestPromptIsBeingRead) {
-  LoadBook book;
+  LoadTracker book;
   book.Begin(1, {{"e", 50'000, 300, true, 200}}, kStart);
   book.Begin(2, {{"e", 50'000, 300, true, 200}}, kStart);
-  BOOST_TEST(book.Of("e", kStart + milliseconds(200)).ToReadMs() == 400);
-  book.FirstEvent(1);
-  BOOST_TEST(book.Of("e", kStart + milliseconds(300)).ToReadMs() == 0);
-  BOOST_TEST(book.Of("e", kStart).writers == 1);
+  BOOST_TEST(book.LoadOn("e", kStart + milliseconds(200)).RemainingReadingMs() == 400);
+  book.MarkFirstEvent(1);
+  BOOST_TEST(book.LoadOn("e", kStart + milliseconds(300)).RemainingReadingMs() == 0);
+  BOOST_TEST(book.LoadOn("e", kStart).writers == 1);
 }
 
 // Notes with every kind of delay: what is proved is never later than the truth.
--- a/src/serving/testing/store_epoch_test.cc
+++ b/src/serving/testing/store_epoch_test.cc
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "serving/departures.h"
+#include "serving/departed_engines.h"
 #include "serving/engine_directory.h"
 #include "serving/epoch_mark.h"
 
@@ -169,7 +169,8 @@
   directory.Remove("goes", At(100), Time{});
   directory.Update(Engine("new"));
 
-  directory.ReplaceByOlder({Engine("stays"), Engine("drains"), Engine("goes")}, At(1000), settled);
+  directory.ReplaceFromStaleList({Engine("stays"), Engine("drains"), Engine("goes")}, At(1000),
+                                 settled);
   BOOST_TEST(UsableOf(&directory, At(1000)) == (Ids{"stays", "new"}));
   BOOST_TEST(UsableOf(&directory, At(2400)) == (Ids{"stays", "new"}));
   // The newcomer has not written again; the one that left was only gone from the list.
@@ -183,7 +184,8 @@
   directory.Remove("goes", At(100), Time{});
   directory.Remove("back", At(100), Time{});
   directory.Update(Engine("drains", 1, /*draining=*/true));
-  directory.ReplaceByOlder({Engine("goes"), Engine("back"), Engine("drains")}, At(1000), settled);
+  directory.ReplaceFromStaleList({Engine("goes"), Engine("back"), Engine("drains")}, At(1000),
+                                 settled);
   directory.Remove("goes", At(1500), Time{});
   directory.Update(Engine("back"));
   BOOST_TEST(UsableOf(&directory, At(1600)) == Ids{"back"});
@@ -194,16 +196,17 @@
 }
 
 BOOST_AUTO_TEST_CASE(DeparturesAreBounded) {
-  Departures departures;
-  for (size_t i = 0; i < 2 * Departures::kMost; ++i) {
-    departures.Note("life-" + std::to_string(i), kStart);
+  DepartedEngines departures;
+  for (size_t i = 0; i < 2 * DepartedEngines::kMaxEntries; ++i) {
+    departures.Add("life-" + std::to_string(i), kStart);
   }
-  BOOST_TEST(departures.size() == Departures::kMost);
-  BOOST_TEST(departures.Has("life-" + std::to_string(2 * Departures::kMost - 1), kStart));
-  BOOST_TEST(!departures.Has("life-0", kStart));
-  departures.Note("last", kStart + Departures::kKeptFor);
+  BOOST_TEST(departures.size() == DepartedEngines::kMaxEntries);
+  BOOST_TEST(
+      departures.Contains("life-" + std::to_string(2 * DepartedEngines::kMaxEntries - 1), kStart));
+  BOOST_TEST(!departures.Contains("life-0", kStart));
+  departures.Add("last", kStart + DepartedEngines::kRetention);
   BOOST_TEST(departures.size() == 1u);
-  BOOST_TEST(!departures.Has("last", kStart + 2 * Departures::kKeptFor));
+  BOOST_TEST(!departures.Contains("last", kStart + 2 * DepartedEngines::kRetention));
 }
 
 }  // namespace
--- a/src/serving/work_plan.cc
+++ b/src/serving/work_plan.cc
@@ -67,7 +67,7 @@
   }
 }
 
-const ServicePlan& WorkPlan::Of(const std::string& service) const {
+const ServicePlan& WorkPlan::ForService(const std::string& service) const {
   static const ServicePlan* const none = new ServicePlan();
   auto found = this->services.find(service);
   return found == this->services.end() ? *none : found->second;
--- a/src/serving/work_plan.h
+++ b/src/serving/work_plan.h
@@ -53,7 +53,7 @@
   const std::vector<GatewayName>& known_gateways() const { return this->gateways; }
 
   // An empty plan for a service that no engine runs.
-  const ServicePlan& Of(const std::string& service) const;
+  const ServicePlan& ForService(const std::string& service) const;
 
   // The service that most engines run; those who share its home cell are this gateway's
   // neighbours, to whom it tells what is not about one engine.
--- a/src/trial/limit_trial.cc
+++ b/src/trial/limit_trial.cc
@@ -262,7 +262,7 @@
     Gateway& gateway = *this->gateways[number];
     if (gateway.life != life || !gateway.is_up) return;
     gateway.fleet->loads().End(work);
-    gateway.fleet->notices().Hear(EngineName(engine), notice, sent, this->now());
+    gateway.fleet->notices().Receive(EngineName(engine), notice, sent, this->now());
     if (notice.limit_per_s) gateway.told_at.try_emplace(engine, this->now());
   }
 
@@ -299,7 +299,7 @@
     LoadDigest digest;
     digest.box = gateway->box;
     bool all = gateway->ticks % (kNoticeRounds * kTicksInRound) == 0;
-    digest.notices = gateway->fleet->NoticesToTell(all, this->now());
+    digest.notices = gateway->fleet->NoticesToSend(all, this->now());
     if (!round && digest.notices.empty()) return;
     this->SendToCell(gateway, digest);
     this->NoteLifted(*gateway);
@@ -309,7 +309,7 @@
     gateway->peers.BeginRound();
     gateway->fleet->ForgetUnlisted(this->now());
     const WorkPlan& plan = gateway->fleet->plan(this->now());
-    const ServicePlan& mine = plan.Of(kService);
+    const ServicePlan& mine = plan.ForService(kService);
     std::vector<std::string> boxes;
     for (const Peer* peer :
          gateway->peers.MembersOf(kService, mine.cells, mine.home, plan.revision())) {
@@ -320,7 +320,7 @@
 
   void SendToCell(Gateway* gateway, const LoadDigest& digest) {
     const WorkPlan& plan = gateway->fleet->plan(this->now());
-    const ServicePlan& mine = plan.Of(kService);
+    const ServicePlan& mine = plan.ForService(kService);
     std::vector<const Peer*> members =
         gateway->peers.NextOf(kService, mine.cells, mine.home, plan.revision());
     bool in_need = this->now() >= kStart + this->options.need_from &&
@@ -355,7 +355,7 @@
   void Hear(Gateway* gateway, const LoadDigest& digest) {
     gateway->liveness.Hear(digest.box, this->now());
     for (const auto& [engine, word] : digest.notices) {
-      gateway->fleet->notices().HearWord(engine, word, this->now());
+      gateway->fleet->notices().ReceiveReport(engine, word, this->now());
     }
   }
 
--- a/src/trial/scale_trial.cc
+++ b/src/trial/scale_trial.cc
@@ -122,7 +122,7 @@
     gateway->fleet.loads().Begin(work, {part}, this->events.now());
     this->Tell(gateway, {engine});
     this->events.After(FromSeconds(choice->placement.first_event_ms / 1000),
-                       [gateway, work] { gateway->fleet.loads().FirstEvent(work); });
+                       [gateway, work] { gateway->fleet.loads().MarkFirstEvent(work); });
     this->events.After(this->options.answer, [this, gateway, work, engine] {
       this->running[engine] -= 1;
       this->all_running -= 1;
@@ -139,7 +139,7 @@
       gateway->peers.BeginRound();
       gateway->fleet.ForgetUnlisted(this->events.now());
       std::vector<std::string> engines;
-      for (const auto& [engine, load] : gateway->fleet.loads().Own(this->events.now())) {
+      for (const auto& [engine, load] : gateway->fleet.loads().OwnLoads(this->events.now())) {
         engines.push_back(engine);
       }
       this->Tell(gateway, engines);
@@ -153,10 +153,10 @@
     LoadDigest digest;
     digest.box = gateway->box;
     digest.sequence = ++gateway->sequence;
-    std::map<std::string, EngineLoad> own = gateway->fleet.loads().Own(this->events.now());
+    std::map<std::string, EngineLoad> own = gateway->fleet.loads().OwnLoads(this->events.now());
     for (const std::string& engine : engines) digest.loads[engine] = own[engine];
     const WorkPlan& plan = gateway->fleet.plan(this->events.now());
-    const ServicePlan& mine = plan.Of(kService);
+    const ServicePlan& mine = plan.ForService(kService);
     std::vector<const Peer*> members =
         gateway->peers.NextOf(kService, mine.cells, mine.home, plan.revision());
     this->datagrams += members.size();
@@ -184,7 +184,8 @@
         static_cast<double>(busiest) * static_cast<double>(this->options.engines) / requests;
     this->result.found_full = this->found_full / requests;
     for (const auto& gateway : this->gateways) {
-      this->result.words_kept = std::max(this->result.words_kept, gateway->fleet.loads().words());
+      this->result.words_kept =
+          std::max(this->result.words_kept, gateway->fleet.loads().peer_entries());
     }
     return this->result;
   }
