--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -64,7 +64,7 @@
     this->Refuse(ResultCode::kQuarantined, wait);
     return;
   }
-  this->state->fleet.RetriesOf(this->service->name)
+  this->state->fleet.RetryBucketOf(this->service->name)
       .AddRequest(this->state->loop->caught_up_at(), now);
   this->StartAttempt(now);
 }
@@ -78,10 +78,10 @@
   demand.objective_ms = ToSeconds(route.objective) * 1000;
   demand.pause_ms = ToSeconds(route.longest_pause) * 1000;
   Duration timeout = this->admission.caller_deadline - this->request.arrived;
-  demand.came_back = timeout < kFirstTryShare * route.timeout;
+  demand.was_refused_before = timeout < kFirstTryShare * route.timeout;
   CrashWatch& watch = *this->state->crash_watch;
   bool is_suspect = this->broke_off || (watch.has_records() && watch.IsSuspect(this->Content()));
-  if (is_suspect) demand.scatter_by = this->Content();
+  if (is_suspect) demand.scatter_hash = this->Content();
   return demand;
 }
 
@@ -251,12 +251,12 @@
   const Route& route = *this->admission.route;
   bool late = this->times.IsLate(route, this->times.FirstAfter(route, Now()));
   if (!late || !this->state->fleet.mechanisms().spare_late_streams) return;
-  this->state->fleet.loads().AnswerIsLate(this->id);
+  this->state->fleet.loads().MarkAnswerLate(this->id);
 }
 
 void Exchange::NoteFirstEvent() {
   this->attempt->any_event = true;
-  this->state->fleet.loads().FirstEvent(this->id);
+  this->state->fleet.loads().MarkFirstEvent(this->id);
 }
 
 void Exchange::ForwardBody(std::string_view bytes) {
@@ -292,7 +292,7 @@
   if (result != ChannelResult::kWholeAnswer) return AttemptResult::kUnknown;
   bool is_incomplete = this->attempt->head_result == AttemptResult::kSuccess &&
                        this->admission.route->streaming &&
-                       (this->attempt->events.has_rest() || !this->answer_begun);
+                       (this->attempt->events.has_partial_event() || !this->answer_begun);
   return is_incomplete ? AttemptResult::kUnknown : this->attempt->head_result;
 }
 
@@ -337,7 +337,7 @@
     fleet.HealthOf(engine).AddSuccess(now);
   } else if (result == AttemptResult::kWrongEngine) {
     this->state->log->Write(this->Line("engine_replaced").Text("engine", engine));
-    fleet.directory().Forget(this->attempt->engine);
+    fleet.directory().RemoveIncarnation(this->attempt->engine);
   } else {
     // Answers that report a failure count too: an engine that fails each request at once is
     // always idle and would be chosen first for every request.
@@ -369,13 +369,13 @@
   RequestState decision = this->StateForDecision(now);
   NextStep step = DecideNext(result, decision);
   bool all_hold_back = this->state->fleet.AllHoldBack(*this->service, now);
-  if (step == NextStep::kRetry && all_hold_back) step = WithoutRetry(result, decision);
+  if (step == NextStep::kRetry && all_hold_back) step = DecideWithoutRetry(result, decision);
   if (step == NextStep::kRetry && this->MayCrashAnotherEngine(now)) {
-    this->ApplyStepAfterCrash(WithoutRetry(result, decision), result);
+    this->ApplyStepAfterCrash(DecideWithoutRetry(result, decision), result);
     return;
   }
   if (step == NextStep::kRetry) {
-    if (this->state->fleet.RetriesOf(this->service->name).TakeRetry(now)) {
+    if (this->state->fleet.RetryBucketOf(this->service->name).TakeRetry(now)) {
       this->state->counters.retries += 1;
       this->state->log->Write(this->Line("retry")
                                   .Text("engine", this->attempt->engine.Incarnation())
@@ -386,14 +386,14 @@
       return;
     }
     this->state->counters.retries_denied += 1;
-    step = WithoutRetry(result, decision);
+    step = DecideWithoutRetry(result, decision);
   }
   this->ApplyStep(step, result);
 }
 
 // Ends the request when no attempt can be sent now.
 void Exchange::ApplyStepUnsent(Time now) {
-  this->ApplyStep(WithoutRetry(AttemptResult::kNotRun, this->StateForDecision(now)),
+  this->ApplyStep(DecideWithoutRetry(AttemptResult::kNotRun, this->StateForDecision(now)),
                   AttemptResult::kNotRun);
 }
 
@@ -426,7 +426,7 @@
   Fleet& fleet = this->state->fleet;
   bool held_back = fleet.AllHoldBack(*this->service, now);
   std::optional<Duration> opens;
-  if (held_back) opens = fleet.OpensIn(*this->service, now);
+  if (held_back) opens = fleet.TimeUntilAdmission(*this->service, now);
   ResultCode code_if_unsent = held_back ? ResultCode::kEnginesHoldBack : ResultCode::kNoEndpoint;
   this->Refuse(this->attempts == 0 ? code_if_unsent : ResultCode::kEnginesRefused, opens);
 }
--- a/src/gateway/notice_receiver.cc
+++ b/src/gateway/notice_receiver.cc
@@ -29,7 +29,7 @@
   EngineNotice notice = platform::ParseEngineNotice(head.status, head.headers);
   if (notice.malformed) NoteMalformed(state, engine);
   EngineNotices& notices = state->fleet.notices();
-  EngineNotices::Change change = notices.Hear(engine.Incarnation(), notice, sent, Now());
+  EngineNotices::Change change = notices.Receive(engine.Incarnation(), notice, sent, Now());
   if (!change.any()) return;
   state->counters.limit_changes += change.limit ? 1 : 0;
   state->counters.leaving_changes += change.leaving ? 1 : 0;
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -113,7 +113,7 @@
 // then reserve memory anew for a part of a prompt that is lost.
 bool TicketSet::HasRestarted(const TicketRequest& request) const {
   const EngineRecord* known = this->state->fleet.directory().Find(request.engine.id);
-  return known != nullptr && known->born > request.engine.born;
+  return known != nullptr && known->started_at_ms > request.engine.started_at_ms;
 }
 
 void TicketSet::Release() {
