--- a/src/gateway/config_revalidator.cc
+++ b/src/gateway/config_revalidator.cc
@@ -33,12 +33,12 @@
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   bool proves_nothing_yet = epoch.is_known() && !epoch.IsSettledFor(now);
   bool is_due = !proves_nothing_yet && this->schedule.IsDue(proved_at, now);
-  bool is_wanted_now = this->is_requested && !this->schedule.is_asking();
+  bool is_wanted_now = this->is_requested && !this->schedule.is_pending();
   if (is_due || is_wanted_now) this->Revalidate(*position, now);
 }
 
 void ConfigRevalidator::Revalidate(uint64_t position, Time now) {
-  this->schedule.NoteAsked();
+  this->schedule.NoteRequested();
   this->is_requested = false;
   std::optional<uint64_t> epoch = this->recovery->returns().epoch().current();
   this->client.Call(platform::ReadRecordsRequest(this->topic, position, /*wait=*/Duration(0),
@@ -76,7 +76,7 @@
     });
     return;
   }
-  this->schedule.NoteProved();
+  this->schedule.NoteValidated();
   if (!this->hooks.validated(sent)) this->schedule.NoteBehind(Now());
 }
 
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -34,7 +34,7 @@
                          .Text("content", ContentName(content))
                          .Number("engines", static_cast<double>(engines)));
   };
-  events.quarantined = [this](const QuarantineWord& report, const std::string& by) {
+  events.quarantined = [this](const QuarantineReport& report, const std::string& by) {
     this->OnQuarantined(report, by);
   };
   events.cleared = [this](ContentId content, bool was_quarantined, const std::string& by) {
@@ -46,8 +46,8 @@
   return events;
 }
 
-void CrashWatch::OnQuarantined(const QuarantineWord& report, const std::string& by) {
-  size_t engines = this->quarantine().EnginesOf(report.content);
+void CrashWatch::OnQuarantined(const QuarantineReport& report, const std::string& by) {
+  size_t engines = this->quarantine().CrashCount(report.content);
   this->log->Write(LogLine("content_quarantined")
                        .Text("content", ContentName(report.content))
                        .Text("by", by)
@@ -56,12 +56,12 @@
   this->StoreEntry(report, by, this->witnessed.count(report.content) != 0, Now());
 }
 
-void CrashWatch::StoreEntry(const QuarantineWord& report, const std::string& by, bool is_witness,
+void CrashWatch::StoreEntry(const QuarantineReport& report, const std::string& by, bool is_witness,
                             Time now) {
   QuarantineEntry entry;
   entry.until_ms = UnixMillis() + static_cast<int64_t>(ToMillis(report.left));
   entry.judged_by = by;
-  entry.engines = static_cast<uint32_t>(this->quarantine().EnginesOf(report.content));
+  entry.engines = static_cast<uint32_t>(this->quarantine().CrashCount(report.content));
   this->quarantine_store.Keep(report.content, entry, is_witness, now);
 }
 
@@ -98,8 +98,8 @@
   if (this->options.is_enabled) this->shared.NoteAnswered(content, now);
 }
 
-CrashNews CrashWatch::ReceiveGossip(const std::string& peer, const CrashNews& gossip, Time now) {
-  return this->options.is_enabled ? this->shared.Hear(peer, gossip, now) : CrashNews{};
+CrashGossip CrashWatch::ReceiveGossip(const std::string& peer, const CrashGossip& gossip, Time now) {
+  return this->options.is_enabled ? this->shared.Receive(peer, gossip, now) : CrashGossip{};
 }
 
 void CrashWatch::OnRecord(ContentId content, const std::string& value, Time now) {
@@ -110,13 +110,13 @@
   if (left_ms <= 0) return;
   left_ms =
       std::min<int64_t>(left_ms, static_cast<int64_t>(ToMillis(this->options.quarantine_duration)));
-  this->shared.Impose({content, milliseconds(left_ms)}, entry->judged_by, now);
+  this->shared.AdoptFromPeer({content, milliseconds(left_ms)}, entry->judged_by, now);
 }
 
 void CrashWatch::TickSlowly(Time now) {
   this->shared.Forget(now);
   std::erase_if(this->witnessed,
-                [this](ContentId content) { return !this->quarantine().Knows(content); });
+                [this](ContentId content) { return !this->quarantine().HasRecordOf(content); });
   this->quarantine_store.Tick(now, UnixMillis());
 }
 
--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -43,7 +43,7 @@
     this->OnNewerVersion(version, peer);
   };
   hooks.engines_copied = [this] { return this->engine_list_copy.copied(); };
-  hooks.on_engines_copied = [this](const CopyMark& mark) {
+  hooks.on_engines_copied = [this](const CopyVersion& mark) {
     this->engine_list_copy.OnPeerCopy(mark, Now());
   };
   hooks.on_store_epoch = [this](uint64_t epoch, bool is_settled) {
@@ -55,7 +55,7 @@
   hooks.engines_read_to = [this] { return this->engine_follower.position().value_or(0); };
   hooks.on_engines_read_to = [this](uint64_t offset) { this->OnPeerEngineListPosition(offset); };
   hooks.take_gossip = [this] { return this->crash_watch.TakeGossip(); };
-  hooks.on_gossip = [this](const std::string& box, const CrashNews& news) {
+  hooks.on_gossip = [this](const std::string& box, const CrashGossip& news) {
     return this->crash_watch.ReceiveGossip(box, news, Now());
   };
   hooks.quarantine_record = [this](ContentId content, const std::string& value) {
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "serving/epoch_mark.h"
 #include "serving/gateway_entry.h"
 #include "serving/quarantine_entry.h"
+#include "serving/settled_epoch.h"
 
 namespace gullward {
 namespace {
@@ -109,7 +109,7 @@
     this->hooks.quarantine_record(*content, record.value);
     return;
   }
-  if (record.key == kEpochMarkKey) {
+  if (record.key == kSettledEpochKey) {
     this->hooks.settled_epoch_record(record.value);
     return;
   }
@@ -129,9 +129,9 @@
   std::optional<LoadDigest> digest = DecodeDigest(datagram);
   if (!digest || digest->box == this->box) return;
   if (digest->freshness) this->OnFreshnessNote(*digest);
-  if (!digest->crash_news.empty()) this->OnGossip(*digest);
+  if (!digest->crash_gossip.empty()) this->OnGossip(*digest);
   Time now = Now();
-  this->liveness.Hear(digest->box, now);
+  this->liveness.OnDatagram(digest->box, now);
   this->OnNotices(*digest, now);
   this->OnStoreState(*digest);
   if (digest->is_offer) {
@@ -152,13 +152,14 @@
   }
   if (digest.store_epoch != this->recovery->returns().epoch().current()) return;
   this->hooks.on_engines_read_to(digest.engines_read_to);
-  if (digest.engines_copied.content != 0) this->hooks.on_engines_copied(digest.engines_copied);
+  if (digest.engines_copied.fingerprint != 0)
+    this->hooks.on_engines_copied(digest.engines_copied);
 }
 
 void LoadExchange::OnFreshnessNote(const LoadDigest& digest) {
   uint64_t own_version = this->hooks.config_version();
-  std::optional<Time> proved =
-      this->freshness.Hear(digest.box, digest.incarnation, *digest.freshness, own_version, Now());
+  std::optional<Time> proved = this->freshness.ReceiveNote(digest.box, digest.incarnation,
+                                                           *digest.freshness, own_version, Now());
   if (proved) this->hooks.on_validated(*proved);
   if (digest.freshness->config_version <= own_version) return;
   const Peer* peer = this->directory.Find(digest.box);
@@ -167,7 +168,7 @@
 }
 
 void LoadExchange::OnGossip(const LoadDigest& digest) {
-  CrashNews reply = this->hooks.on_gossip(digest.box, digest.crash_news);
+  CrashGossip reply = this->hooks.on_gossip(digest.box, digest.crash_gossip);
   if (reply.empty()) return;
   const Peer* peer = this->directory.Find(digest.box);
   if (peer != nullptr) this->SendGossip(*peer, std::move(reply), Now());
@@ -175,17 +176,17 @@
 
 // One part at a time, to a few: what waits goes with the next ticks.
 void LoadExchange::SendPendingGossip(Time now) {
-  CrashNews news = this->hooks.take_gossip();
+  CrashGossip news = this->hooks.take_gossip();
   if (news.empty()) return;
-  for (const Peer* peer : this->directory.Draw(CrashNewsQueue::kFanout, &this->random)) {
+  for (const Peer* peer : this->directory.Sample(CrashGossipQueue::kFanout, &this->random)) {
     this->SendGossip(*peer, news, now);
   }
 }
 
-void LoadExchange::SendGossip(const Peer& peer, CrashNews news, Time now) {
+void LoadExchange::SendGossip(const Peer& peer, CrashGossip news, Time now) {
   LoadDigest digest = this->NewDigest(now);
   digest.sequence = ++this->sequence;
-  digest.crash_news = std::move(news);
+  digest.crash_gossip = std::move(news);
   this->Send(peer, EncodeDigest(digest));
 }
 
@@ -251,7 +252,7 @@
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<const Peer*> neighbours =
-      this->directory.NextOf(plan.main_service(), main.cells, main.home, plan.revision());
+      this->directory.MembersForRound(plan.main_service(), main.cells, main.home, plan.revision());
   this->neighbour_count = neighbours.size();
   return neighbours;
 }
@@ -262,7 +263,8 @@
   if (record == nullptr) return {};
   const WorkPlan& plan = this->fleet->plan(now);
   const CellMap& cells = plan.ForService(record->service).cells;
-  return this->directory.NextOf(record->service, cells, cells.CellOf(*record), plan.revision());
+  return this->directory.MembersForRound(record->service, cells, cells.CellOf(*record),
+                                         plan.revision());
 }
 
 // To the members of each engine's cell; engines with the same ones share datagrams.
@@ -295,7 +297,7 @@
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<const Peer*> receivers =
-      this->directory.DrawOutside(main.cells, main.home, Spill::kReceiversPerRound, &this->random);
+      this->directory.SampleOutside(main.cells, main.home, Spill::kReceiversPerRound, &this->random);
   if (receivers.empty()) return;
   LoadDigest digest = this->NewDigest(now);
   digest.is_offer = true;
@@ -347,7 +349,7 @@
        this->directory.MembersOf(plan.main_service(), main.cells, main.home, plan.revision())) {
     boxes.push_back(peer->box);
   }
-  this->fleet->SetSilentGateways(this->liveness.Silent(boxes, now));
+  this->fleet->SetSilentGateways(this->liveness.SilentPeers(boxes, now));
 }
 
 void LoadExchange::Send(const Peer& peer, const std::string& datagram) {
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -69,17 +69,17 @@
     // A peer has a newer version than we.
     std::function<void(uint64_t config_version, const Peer& peer)> on_newer_version;
     // What the copy of the engines' list holds, as we know it and as a peer does.
-    std::function<CopyMark()> engines_copied;
-    std::function<void(const CopyMark& mark)> on_engines_copied;
+    std::function<CopyVersion()> engines_copied;
+    std::function<void(const CopyVersion& mark)> on_engines_copied;
     // How far we have read the engines' list, and how far a peer has.
     std::function<uint64_t()> engines_read_to;
     std::function<void(uint64_t offset)> on_engines_read_to;
     // The store's epoch as a peer knows it, and whether it has for long enough.
     std::function<void(uint64_t epoch, bool is_settled)> on_store_epoch;
     // News of engines that ended, to be told to a few; nothing in it where there is none.
-    std::function<CrashNews()> take_gossip;
+    std::function<CrashGossip()> take_gossip;
     // A peer's news, and what to tell that peer in turn.
-    std::function<CrashNews(const std::string& box, const CrashNews& news)> on_gossip;
+    std::function<CrashGossip(const std::string& box, const CrashGossip& news)> on_gossip;
     // An entry of the peers' topic that is about a content in quarantine.
     std::function<void(ContentId content, const std::string& value)> quarantine_record;
     // The entry of the peers' topic that says which epoch of the store is settled.
@@ -115,7 +115,7 @@
   uint64_t datagrams_sent() const { return this->sent; }
   uint64_t bytes_sent() const { return this->sent_bytes; }
   uint64_t datagrams_received() const { return this->received; }
-  uint64_t deferred_peers() const { return this->directory.untold(); }
+  uint64_t deferred_peers() const { return this->directory.deferred(); }
   uint64_t store_calls() const { return this->follower.calls() + this->registrar.calls(); }
 
  private:
@@ -130,7 +130,7 @@
   void OnFreshnessNote(const LoadDigest& digest);
   void OnGossip(const LoadDigest& digest);
   void SendPendingGossip(Time now);
-  void SendGossip(const Peer& peer, CrashNews news, Time now);
+  void SendGossip(const Peer& peer, CrashGossip news, Time now);
   LoadDigest NewDigest(Time now);
   std::map<std::string, EngineLoad> TakeUnsent(bool all, Time now);
   std::vector<const Peer*> Neighbours(Time now);
--- a/src/gateway/settled_epoch_writer.cc
+++ b/src/gateway/settled_epoch_writer.cc
@@ -2,12 +2,12 @@
 
 #include "gateway/settled_epoch_writer.h"
 
-#include "serving/epoch_mark.h"
+#include "serving/settled_epoch.h"
 
 namespace gullward {
 
 void SettledEpochWriter::OnRecord(const std::string& value) {
-  this->stored_epoch = DecodeEpochMark(value);
+  this->stored_epoch = DecodeSettledEpoch(value);
   if (this->stored_epoch) this->recovery->returns().Settle(*this->stored_epoch);
 }
 
@@ -28,7 +28,7 @@
 
 void SettledEpochWriter::Write(uint64_t epoch) {
   this->is_busy = true;
-  platform::KeyedRecord record{std::string(kEpochMarkKey), EncodeEpochMark(epoch)};
+  platform::KeyedRecord record{std::string(kSettledEpochKey), EncodeSettledEpoch(epoch)};
   this->client.Call(platform::AppendRecordRequest(platform::kPeersTopic, record),
                     StoreClient::kAnswerTimeout, [this, epoch](const StoreAnswer& answer) {
                       if (!answer.ok()) {
