--- a/src/serving/load_digest.cc
+++ b/src/serving/load_digest.cc
@@ -56,7 +56,7 @@
     flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<fb::EngineNoticeEntry>>>;
 
 NoticeOffset PackNotices(flatbuffers::FlatBufferBuilder* builder,
-                         const std::map<std::string, NoticeWord>& notices) {
+                         const std::map<std::string, NoticeReport>& notices) {
   if (notices.empty()) return 0;
   std::vector<flatbuffers::Offset<fb::EngineNoticeEntry>> entries;
   for (const auto& [engine, report] : notices) {
@@ -72,23 +72,23 @@
 }
 
 // Empty if the limit's rate is negative or not finite.
-std::optional<LimitWord> ReadLimit(const fb::EngineLimit& packed) {
-  LimitWord limit;
+std::optional<LimitReport> ReadLimit(const fb::EngineLimit& packed) {
+  LimitReport limit;
   limit.age = Duration(static_cast<int64_t>(std::min(packed.age_us(), kMaxAgeUs)));
   if (packed.per_s()) limit.per_s = *packed.per_s();
   if (limit.per_s && !IsFiniteNonNegative(*limit.per_s)) return std::nullopt;
   return limit;
 }
 
-std::map<std::string, NoticeWord> ReadNotices(const fb::LoadDigest& packed) {
-  std::map<std::string, NoticeWord> notices;
+std::map<std::string, NoticeReport> ReadNotices(const fb::LoadDigest& packed) {
+  std::map<std::string, NoticeReport> notices;
   if (packed.notices() == nullptr) return notices;
   for (const fb::EngineNoticeEntry* entry : *packed.notices()) {
     if (entry->engine() == nullptr) continue;
-    NoticeWord report;
+    NoticeReport report;
     if (entry->limit() != nullptr) report.limit = ReadLimit(*entry->limit());
     report.leaving = entry->leaving();
-    if (report != NoticeWord{}) notices[entry->engine()->str()] = report;
+    if (report != NoticeReport{}) notices[entry->engine()->str()] = report;
   }
   return notices;
 }
--- a/src/serving/load_digest.h
+++ b/src/serving/load_digest.h
@@ -49,7 +49,7 @@
   // sender's own load.
   bool is_offer = false;
   // Notices that engines have sent, by engine incarnation (serving/engine_notices.h).
-  std::map<std::string, NoticeWord> notices;
+  std::map<std::string, NoticeReport> notices;
   // Crash reports that the receiver passes on (serving/crash_gossip.h).
   CrashGossip crash_gossip;
 
--- a/src/serving/testing/serving_test.cc
+++ b/src/serving/testing/serving_test.cc
@@ -10,13 +10,13 @@
 #include "serving/copy_schedule.h"
 #include "serving/engine_directory.h"
 #include "serving/engine_health.h"
-#include "serving/engine_patience.h"
 #include "serving/event_splitter.h"
 #include "serving/fleet.h"
 #include "serving/freshness.h"
 #include "serving/peer_freshness.h"
 #include "serving/retry_bucket.h"
 #include "serving/revalidation_schedule.h"
+#include "serving/silence_timeout.h"
 
 namespace gullward {
 namespace {
@@ -59,7 +59,7 @@
   for (AttemptResult result : results) {
     for (Repeat repeat : {Repeat::kAllowed, Repeat::kNever, Repeat::kResumeStream}) {
       for (int bits = 0; bits < 8; ++bits) {
-        for (int attempts = 1; attempts <= kMostAttempts + 1; ++attempts) {
+        for (int attempts = 1; attempts <= kMaxAttempts + 1; ++attempts) {
           RequestState state;
           state.repeat = repeat;
           state.answer_begun = (bits & 1) != 0;
@@ -71,13 +71,13 @@
           state.attempts_run = state.may_have_run || !not_run ? 1 : 0;
           if (!not_run) state.may_have_run = true;
           NextStep step = DecideNext(result, state);
-          NextStep rest = WithoutRetry(result, state);
+          NextStep rest = DecideWithoutRetry(result, state);
           // A request that may have run and must not run twice is never retried.
           bool ran = state.may_have_run && repeat == Repeat::kNever;
           if (ran && !not_run) BOOST_TEST((step != NextStep::kRetry));
           if (ran) BOOST_TEST((step != NextStep::kRefuse && rest != NextStep::kRefuse));
           if (!state.time_left) BOOST_TEST((step != NextStep::kRetry));
-          if (attempts >= kMostAttempts) BOOST_TEST((step != NextStep::kRetry));
+          if (attempts >= kMaxAttempts) BOOST_TEST((step != NextStep::kRetry));
           BOOST_TEST((rest != NextStep::kRetry));
           // After an answer has begun, no second response head is sent.
           bool new_head = rest == NextStep::kRefuse || rest == NextStep::kFail;
@@ -101,7 +101,7 @@
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<RetryBucket> windows(kProcesses, RetryBucket(bounds));
-    for (RetryBucket& window : windows) window.SetProcesses(kProcesses);
+    for (RetryBucket& window : windows) window.SetProcessCount(kProcesses);
     std::vector<Time> requests;
     std::vector<Time> retries;
     Time now = kStart;
@@ -131,8 +131,8 @@
 BOOST_AUTO_TEST_CASE(TheSlackIsDividedByTheNumberOfProcesses) {
   RetryBucket window(RetryBounds{seconds(10), 0.2, 132});
   auto left = [&](size_t processes) {
-    window.SetProcesses(processes);
-    return window.Left(kStart);
+    window.SetProcessCount(processes);
+    return window.Available(kStart);
   };
   BOOST_TEST(left(28) * 28 <= 132);
   BOOST_TEST(left(5) > left(28));
@@ -168,7 +168,7 @@
         if (some.last_id) all.last_id = some.last_id;
       }
       BOOST_REQUIRE((all == ReferenceSplit(text)));
-      BOOST_REQUIRE(splitter.has_rest());
+      BOOST_REQUIRE(splitter.has_partial_event());
     }
   }
   EventSplitter splitter;
@@ -264,26 +264,26 @@
 BOOST_AUTO_TEST_CASE(AFailingEngineIsSetAsideAndItsFailureRateDecays) {
   EngineHealth health;
   health.AddFailure(kStart);
-  BOOST_TEST(!health.IsOut(kStart));
+  BOOST_TEST(!health.IsSetAside(kStart));
   health.AddFailure(kStart);
-  BOOST_TEST(health.IsOut(kStart));
-  BOOST_TEST(!health.IsOut(kStart + EngineHealth::kFirstPause));
+  BOOST_TEST(health.IsSetAside(kStart));
+  BOOST_TEST(!health.IsSetAside(kStart + EngineHealth::kFirstPause));
   Duration longest{};
   for (int i = 0; i < 30; ++i) health.AddFailure(kStart);
-  while (health.IsOut(kStart + longest)) longest += milliseconds(10);
-  BOOST_TEST((longest <= EngineHealth::kLongestPause));
+  while (health.IsSetAside(kStart + longest)) longest += milliseconds(10);
+  BOOST_TEST((longest <= EngineHealth::kMaxPause));
   double before = health.FailureRate(kStart);
   BOOST_TEST(health.FailureRate(kStart + EngineHealth::kHalfLife) < before * 0.51);
   health.AddSuccess(kStart);
-  BOOST_TEST(!health.IsOut(kStart));
+  BOOST_TEST(!health.IsSetAside(kStart));
   EngineHealth unreachable;
   unreachable.AddCertainFailure(kStart);
-  BOOST_TEST(unreachable.IsOut(kStart));
+  BOOST_TEST(unreachable.IsSetAside(kStart));
 }
 
 BOOST_AUTO_TEST_CASE(SilenceIsAcceptedWhileTheLoadExplainsIt) {
-  BOOST_TEST((PatienceWith(100) == kLeastPatience));
-  BOOST_TEST((PatienceWith(1000) == milliseconds(3000)));
+  BOOST_TEST((SilenceTimeout(100) == kMinSilenceTimeout));
+  BOOST_TEST((SilenceTimeout(1000) == milliseconds(3000)));
   struct Case {
     const char* what;
     int requests;
@@ -297,14 +297,14 @@
       {"a prompt that should have been read by now", 1, 700, milliseconds(1100), false},
       {"more requests than slots", 9, 0, milliseconds(1000), true},
       {"all slots taken", 8, 0, milliseconds(1000), false},
-      {"a load that explains it, but at the maximum timeout", 9, 5000, kLongestPatience, false},
+      {"a load that explains it, but at the maximum timeout", 9, 5000, kMaxSilenceTimeout, false},
   };
   for (const Case& test_case : cases) {
     EngineLoad load;
     load.requests = test_case.requests;
     load.reading_ms = test_case.reading_ms;
     BOOST_TEST_CONTEXT(test_case.what) {
-      BOOST_TEST(ExcusesSilence(load, /*slots=*/8, test_case.silent) == test_case.is_explained);
+      BOOST_TEST(LoadExplainsSilence(load, /*slots=*/8, test_case.silent) == test_case.is_explained);
     }
   }
 }
@@ -328,7 +328,7 @@
   for (const Case& test_case : cases) {
     BOOST_TEST_CONTEXT(test_case.what) {
       BOOST_TEST(
-          (PatienceForFirst(test_case.expected_ms, test_case.objective_ms) == test_case.patience));
+          (FirstEventTimeout(test_case.expected_ms, test_case.objective_ms) == test_case.patience));
     }
   }
 }
@@ -385,16 +385,16 @@
   Service service;
   service.name = "apps";
   std::string first = fleet.Choose(service, {}, {}, kStart)->engine.id;
-  for (const char* peer : {"a", "b"}) fleet.HearSetAside(peer, {first}, kStart);
+  for (const char* peer : {"a", "b"}) fleet.ReceiveSetAside(peer, {first}, kStart);
   BOOST_TEST(fleet.Choose(service, {}, {}, kStart)->engine.id != first);
   fleet.HealthOf(first).AddSuccess(kStart);
   BOOST_TEST(fleet.Choose(service, {}, {}, kStart)->engine.id == first);
   // After two reports, one own failure is enough to set the engine aside.
   fleet.NoteFailure(first, /*unreachable=*/false, kStart);
-  BOOST_TEST((fleet.SetAside(kStart) == std::set<std::string>{first}));
+  BOOST_TEST((fleet.SetAsideEngines(kStart) == std::set<std::string>{first}));
   // A gateway for which most engines fail reports none of them.
   for (int i = 0; i < 12; ++i) fleet.NoteFailure("e" + std::to_string(i), true, kStart);
-  BOOST_TEST(fleet.SetAside(kStart).empty());
+  BOOST_TEST(fleet.SetAsideEngines(kStart).empty());
 }
 
 // Twelve engines: e0 was unreachable once, and the others run forty requests each.  Checks with
@@ -429,9 +429,9 @@
     service.name = "apps";
     BOOST_TEST_CONTEXT(test_case.name) {
       BOOST_TEST((fleet.Choose(service, {}, {}, kStart)->engine.id == "e0") == test_case.gets_e0);
-      for (const char* peer : {"a", "b"}) fleet.HearSetAside(peer, {"e1"}, kStart);
+      for (const char* peer : {"a", "b"}) fleet.ReceiveSetAside(peer, {"e1"}, kStart);
       fleet.NoteFailure("e1", /*unreachable=*/false, kStart);
-      BOOST_TEST((fleet.SetAside(kStart) == test_case.set_aside_after_named));
+      BOOST_TEST((fleet.SetAsideEngines(kStart) == test_case.set_aside_after_named));
     }
   }
 }
@@ -613,23 +613,23 @@
 }
 
 BOOST_AUTO_TEST_CASE(PeerLoadIsCountedOnceAndExpiresWhenThePeerIsSilent) {
-  LoadBook book;
+  LoadTracker book;
   EngineLoad three;
   three.requests = 3;
   book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 3);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 3);
   // Late and duplicate datagrams change nothing.
   book.ApplyPeer("p", 1, 4, {{"e", EngineLoad{}}}, kStart);
   book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 3);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 3);
   book.Begin(1, {{"e", 5000, 20, true, 200}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 4);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 4);
   // The load of a new incarnation replaces all loads of the previous one.
   book.ApplyPeer("p", 2, 1, {{"f", three}}, kStart);
-  BOOST_TEST(book.Of("e", kStart).requests == 1);
-  BOOST_TEST(book.Of("f", kStart + LoadBook::kPeerSilence + milliseconds(1)).requests == 0);
+  BOOST_TEST(book.LoadOn("e", kStart).requests == 1);
+  BOOST_TEST(book.LoadOn("f", kStart + LoadTracker::kPeerTimeout + milliseconds(1)).requests == 0);
   book.End(1);
-  BOOST_TEST((book.Of("e", kStart) == EngineLoad{}));
+  BOOST_TEST((book.LoadOn("e", kStart) == EngineLoad{}));
 }
 
 BOOST_AUTO_TEST_CASE(PeersReceiveChangesThatAffectTheirPlacement) {
@@ -665,36 +665,36 @@
   };
   for (const Case& test_case : cases) {
     BOOST_TEST_CONTEXT(test_case.change) {
-      BOOST_TEST(IsNews(test_case.sent, test_case.now) == test_case.is_significant);
-      BOOST_TEST(IsNews(test_case.sent, test_case.now, /*count_reading=*/false) ==
+      BOOST_TEST(IsSignificantChange(test_case.sent, test_case.now) == test_case.is_significant);
+      BOOST_TEST(IsSignificantChange(test_case.sent, test_case.now, /*count_reading=*/false) ==
                  test_case.is_significant_without_reading);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(ALateStreamIsCountedAtTheLateStreamPause) {
-  LoadBook book;
+  LoadTracker book;
   book.Begin(1, {{"e", 5000, 30, true, 250}}, kStart);
   book.Begin(2, {{"e", 5000, 30, true, 250}}, kStart);
   book.Begin(3, {{"e", 0, 60, true, 0}}, kStart);
-  book.AnswerIsLate(1);
-  book.AnswerIsLate(3);
-  book.AnswerIsLate(4);
-  EngineLoad load = book.Of("e", kStart);
+  book.MarkAnswerLate(1);
+  book.MarkAnswerLate(3);
+  book.MarkAnswerLate(4);
+  EngineLoad load = book.LoadOn("e", kStart);
   BOOST_TEST(load.requests == 3);
   BOOST_TEST_REQUIRE(load.streams.size() == 2u);
   BOOST_TEST((load.streams[0] == PauseClass{250, 1, 5000}));
-  BOOST_TEST((load.streams[1] == PauseClass{kPauseOfLateStreams, 1, 5000}));
+  BOOST_TEST((load.streams[1] == PauseClass{kLateStreamPauseMs, 1, 5000}));
 }
 
 BOOST_AUTO_TEST_CASE(ReadingTimePassesForTheOldestPromptOnly) {
-  LoadBook book;
+  LoadTracker book;
   book.Begin(1, {{"e", 50'000, 300, true, 200}}, kStart);
   book.Begin(2, {{"e", 50'000, 300, true, 200}}, kStart);
-  BOOST_TEST(book.Of("e", kStart + milliseconds(200)).ToReadMs() == 400);
-  book.FirstEvent(1);
-  BOOST_TEST(book.Of("e", kStart + milliseconds(300)).ToReadMs() == 0);
-  BOOST_TEST(book.Of("e", kStart).writers == 1);
+  BOOST_TEST(book.LoadOn("e", kStart + milliseconds(200)).RemainingReadingMs() == 400);
+  book.MarkFirstEvent(1);
+  BOOST_TEST(book.LoadOn("e", kStart + milliseconds(300)).RemainingReadingMs() == 0);
+  BOOST_TEST(book.LoadOn("e", kStart).writers == 1);
 }
 
 // With random delays of the notes, the validation time that a note proves must never be later than
--- a/src/standins/engine_standin.cc
+++ b/src/standins/engine_standin.cc
@@ -25,7 +25,7 @@
   if (fault == EngineFault::kForeignFirst) {
     AnswerHead foreign = *head;
     foreign.headers.front().second = "another-request";
-    channel->AnswerAhead(foreign, "not yours");
+    channel->WriteUnsolicitedAnswer(foreign, "not yours");
   }
 }
 
@@ -130,7 +130,7 @@
   }
   if (this->NamesRefusedHelper(request)) {
     head.headers.emplace_back(platform::kNotRun, "1");
-    head.headers.emplace_back(platform::kEngineAtFault, this->refused_helper->ToString());
+    head.headers.emplace_back(platform::kRefusalCause, this->refused_helper->ToString());
     return channel->Answer(head, "");
   }
   EngineFault fault = this->TakeFault();
@@ -216,7 +216,8 @@
   if (next > this->options.events) {
     connection->request.reset();
     channel->EndAnswer();
-    if (fault == EngineFault::kExtraAfter) channel->AnswerAhead(this->Plain(200), "once more");
+    if (fault == EngineFault::kExtraAfter)
+      channel->WriteUnsolicitedAnswer(this->Plain(200), "once more");
     return;
   }
   channel->WritePart(Event(next));
@@ -244,7 +245,7 @@
     return;
   }
   channel->Answer(head, kBody);
-  if (fault == EngineFault::kExtraAfter) channel->AnswerAhead(head, kBody);
+  if (fault == EngineFault::kExtraAfter) channel->WriteUnsolicitedAnswer(head, kBody);
 }
 
 }  // namespace gullward
