--- a/src/serving/testing/serving_test.cc
+++ b/src/serving/testing/serving_test.cc
@@ -304,7 +304,8 @@
     load.requests = test_case.requests;
     load.reading_ms = test_case.reading_ms;
     BOOST_TEST_CONTEXT(test_case.what) {
-      BOOST_TEST(LoadExplainsSilence(load, /*slots=*/8, test_case.silent) == test_case.is_explained);
+      BOOST_TEST(LoadExplainsSilence(load, /*slots=*/8, test_case.silent) ==
+                 test_case.is_explained);
     }
   }
 }
@@ -314,7 +315,7 @@
     const char* what;
     double expected_ms;
     double objective_ms;
-    Duration patience;
+    Duration timeout;
   };
   const std::vector<Case> cases = {
       {"a short request: the usual timeout is longer", 100, 300, milliseconds(900)},
@@ -328,7 +329,7 @@
   for (const Case& test_case : cases) {
     BOOST_TEST_CONTEXT(test_case.what) {
       BOOST_TEST(
-          (FirstEventTimeout(test_case.expected_ms, test_case.objective_ms) == test_case.patience));
+          (FirstEventTimeout(test_case.expected_ms, test_case.objective_ms) == test_case.timeout));
     }
   }
 }
@@ -613,23 +614,24 @@
 }
 
 BOOST_AUTO_TEST_CASE(PeerLoadIsCountedOnceAndExpiresWhenThePeerIsSilent) {
-  LoadTracker book;
+  LoadTracker tracker;
   EngineLoad three;
   three.requests = 3;
-  book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
-  BOOST_TEST(book.LoadOn("e", kStart).requests == 3);
+  tracker.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
+  BOOST_TEST(tracker.LoadOn("e", kStart).requests == 3);
   // Late and duplicate datagrams change nothing.
-  book.ApplyPeer("p", 1, 4, {{"e", EngineLoad{}}}, kStart);
-  book.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
-  BOOST_TEST(book.LoadOn("e", kStart).requests == 3);
-  book.Begin(1, {{"e", 5000, 20, true, 200}}, kStart);
-  BOOST_TEST(book.LoadOn("e", kStart).requests == 4);
+  tracker.ApplyPeer("p", 1, 4, {{"e", EngineLoad{}}}, kStart);
+  tracker.ApplyPeer("p", 1, 5, {{"e", three}}, kStart);
+  BOOST_TEST(tracker.LoadOn("e", kStart).requests == 3);
+  tracker.Begin(1, {{"e", 5000, 20, true, 200}}, kStart);
+  BOOST_TEST(tracker.LoadOn("e", kStart).requests == 4);
   // The load of a new incarnation replaces all loads of the previous one.
-  book.ApplyPeer("p", 2, 1, {{"f", three}}, kStart);
-  BOOST_TEST(book.LoadOn("e", kStart).requests == 1);
-  BOOST_TEST(book.LoadOn("f", kStart + LoadTracker::kPeerTimeout + milliseconds(1)).requests == 0);
-  book.End(1);
-  BOOST_TEST((book.LoadOn("e", kStart) == EngineLoad{}));
+  tracker.ApplyPeer("p", 2, 1, {{"f", three}}, kStart);
+  BOOST_TEST(tracker.LoadOn("e", kStart).requests == 1);
+  BOOST_TEST(tracker.LoadOn("f", kStart + LoadTracker::kPeerTimeout + milliseconds(1)).requests ==
+             0);
+  tracker.End(1);
+  BOOST_TEST((tracker.LoadOn("e", kStart) == EngineLoad{}));
 }
 
 BOOST_AUTO_TEST_CASE(PeersReceiveChangesThatAffectTheirPlacement) {
@@ -673,14 +675,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(ALateStreamIsCountedAtTheLateStreamPause) {
-  LoadTracker book;
-  book.Begin(1, {{"e", 5000, 30, true, 250}}, kStart);
-  book.Begin(2, {{"e", 5000, 30, true, 250}}, kStart);
-  book.Begin(3, {{"e", 0, 60, true, 0}}, kStart);
-  book.MarkAnswerLate(1);
-  book.MarkAnswerLate(3);
-  book.MarkAnswerLate(4);
-  EngineLoad load = book.LoadOn("e", kStart);
+  LoadTracker tracker;
+  tracker.Begin(1, {{"e", 5000, 30, true, 250}}, kStart);
+  tracker.Begin(2, {{"e", 5000, 30, true, 250}}, kStart);
+  tracker.Begin(3, {{"e", 0, 60, true, 0}}, kStart);
+  tracker.MarkAnswerLate(1);
+  tracker.MarkAnswerLate(3);
+  tracker.MarkAnswerLate(4);
+  EngineLoad load = tracker.LoadOn("e", kStart);
   BOOST_TEST(load.requests == 3);
   BOOST_TEST_REQUIRE(load.streams.size() == 2u);
   BOOST_TEST((load.streams[0] == PauseClass{250, 1, 5000}));
@@ -688,13 +690,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(ReadingTimePassesForTheOldestPromptOnly) {
-  LoadTracker book;
-  book.Begin(1, {{"e", 50'000, 300, true, 200}}, kStart);
-  book.Begin(2, {{"e", 50'000, 300, true, 200}}, kStart);
-  BOOST_TEST(book.LoadOn("e", kStart + milliseconds(200)).RemainingReadingMs() == 400);
-  book.MarkFirstEvent(1);
-  BOOST_TEST(book.LoadOn("e", kStart + milliseconds(300)).RemainingReadingMs() == 0);
-  BOOST_TEST(book.LoadOn("e", kStart).writers == 1);
+  LoadTracker tracker;
+  tracker.Begin(1, {{"e", 50'000, 300, true, 200}}, kStart);
+  tracker.Begin(2, {{"e", 50'000, 300, true, 200}}, kStart);
+  BOOST_TEST(tracker.LoadOn("e", kStart + milliseconds(200)).RemainingReadingMs() == 400);
+  tracker.MarkFirstEvent(1);
+  BOOST_TEST(tracker.LoadOn("e", kStart + milliseconds(300)).RemainingReadingMs() == 0);
+  BOOST_TEST(tracker.LoadOn("e", kStart).writers == 1);
 }
 
 // With random delays of the notes, the validation time that a note proves must never be later than
--- a/src/serving/testing/store_epoch_test.cc
+++ b/src/serving/testing/store_epoch_test.cc
@@ -152,8 +152,8 @@
   }
 }
 
-EngineRecord Engine(const std::string& id, int64_t born = 1, bool draining = false) {
-  return {id, "pool", {"10.0.0.1", 8080}, "hall-1", 16, draining, born};
+EngineRecord Engine(const std::string& id, int64_t started_at_ms = 1, bool draining = false) {
+  return {id, "pool", {"10.0.0.1", 8080}, "hall-1", 16, draining, started_at_ms};
 }
 
 std::set<std::string> UsableOf(EngineDirectory* directory, Time now) {
