--- a/src/serving/testing/serving_test.cc
+++ b/src/serving/testing/serving_test.cc
@@ -100,18 +100,18 @@
   constexpr int kProcesses = 10;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
-    std::vector<RetryBucket> windows(kProcesses, RetryBucket(bounds));
-    for (RetryBucket& window : windows) window.SetProcessCount(kProcesses);
+    std::vector<RetryBucket> buckets(kProcesses, RetryBucket(bounds));
+    for (RetryBucket& bucket : buckets) bucket.SetProcessCount(kProcesses);
     std::vector<Time> requests;
     std::vector<Time> retries;
     Time now = kStart;
     for (int step = 0; step < 8000; ++step) {
       now += milliseconds(random() % 12);
-      RetryBucket& window = windows[random() % kProcesses];
+      RetryBucket& bucket = buckets[random() % kProcesses];
       if (random() % 100 < 30) {
-        window.AddRequest(now);
+        bucket.AddRequest(now);
         requests.push_back(now);
-      } else if (window.TakeRetry(now)) {
+      } else if (bucket.TakeRetry(now)) {
         retries.push_back(now);
       }
     }
@@ -129,10 +129,10 @@
 // Guards against a slack that is divided by a fixed number of processes: 28 processes that each
 // took a tenth of the slack exceeded the bound together.
 BOOST_AUTO_TEST_CASE(TheSlackIsDividedByTheNumberOfProcesses) {
-  RetryBucket window(RetryBounds{seconds(10), 0.2, 132});
+  RetryBucket bucket(RetryBounds{seconds(10), 0.2, 132});
   auto left = [&](size_t processes) {
-    window.SetProcessCount(processes);
-    return window.Available(kStart);
+    bucket.SetProcessCount(processes);
+    return bucket.Available(kStart);
   };
   BOOST_TEST(left(28) * 28 <= 132);
   BOOST_TEST(left(5) > left(28));
@@ -179,9 +179,9 @@
                                 const std::string& path) {
   const Route* best = nullptr;
   for (const Route& route : config.routes) {
-    bool fits =
+    bool is_match =
         route.host == host && path.compare(0, route.path_prefix.size(), route.path_prefix) == 0;
-    if (!fits) continue;
+    if (!is_match) continue;
     if (best == nullptr || route.path_prefix.size() > best->path_prefix.size()) best = &route;
   }
   return best;
@@ -199,10 +199,11 @@
     for (uint64_t depth = random() % 4; depth > 0; --depth) {
       route.path_prefix += std::string(names[random() % 4]) + "/";
     }
-    bool taken = std::any_of(config.routes.begin(), config.routes.end(), [&](const Route& other) {
-      return other.host == route.host && other.path_prefix == route.path_prefix;
-    });
-    if (!taken) config.routes.push_back(route);
+    bool is_taken =
+        std::any_of(config.routes.begin(), config.routes.end(), [&](const Route& other) {
+          return other.host == route.host && other.path_prefix == route.path_prefix;
+        });
+    if (!is_taken) config.routes.push_back(route);
   }
   ConfigIndex index(config);
   for (int i = 0; i < 2000; ++i) {
@@ -268,10 +269,10 @@
   health.AddFailure(kStart);
   BOOST_TEST(health.IsSetAside(kStart));
   BOOST_TEST(!health.IsSetAside(kStart + EngineHealth::kFirstPause));
-  Duration longest{};
+  Duration pause{};
   for (int i = 0; i < 30; ++i) health.AddFailure(kStart);
-  while (health.IsSetAside(kStart + longest)) longest += milliseconds(10);
-  BOOST_TEST((longest <= EngineHealth::kMaxPause));
+  while (health.IsSetAside(kStart + pause)) pause += milliseconds(10);
+  BOOST_TEST((pause <= EngineHealth::kMaxPause));
   double before = health.FailureRate(kStart);
   BOOST_TEST(health.FailureRate(kStart + EngineHealth::kHalfLife) < before * 0.51);
   health.AddSuccess(kStart);
@@ -368,11 +369,11 @@
     PeerSuspicion suspicion("box-" + std::to_string(box));
     suspicion.ReceiveSetAside("a", {"e"}, 12, kStart);
     suspicion.ReceiveSetAside("b", {"e"}, 12, kStart);
-    Duration away{};
-    while (suspicion.IsSuspected("e", kStart + away)) away += milliseconds(10);
-    BOOST_TEST((away >= PeerSuspicion::kReportLifetime));
-    BOOST_TEST((away <= PeerSuspicion::kReportLifetime + PeerSuspicion::kReturnSpread));
-    returns.insert(away);
+    Duration avoided_for{};
+    while (suspicion.IsSuspected("e", kStart + avoided_for)) avoided_for += milliseconds(10);
+    BOOST_TEST((avoided_for >= PeerSuspicion::kReportLifetime));
+    BOOST_TEST((avoided_for <= PeerSuspicion::kReportLifetime + PeerSuspicion::kReturnSpread));
+    returns.insert(avoided_for);
   }
   BOOST_TEST(returns.size() > 14u);
 }
