--- a/src/request/entry_core.cc
+++ b/src/request/entry_core.cc
@@ -1,4 +1,4 @@
-// The state machine of the entry; entry_core.h tells its rules.
+// See entry_core.h for the states of a request and the rules.
 
 #include "request/entry_core.h"
 
@@ -9,31 +9,32 @@
 namespace gullward {
 namespace {
 
-// What a caller is told where nothing better is known.
+// Reported to callers where no better estimate exists.
 constexpr Duration kDefaultRetryAfter = seconds(1);
 
-// Backoff between tries to reserve a group.
+// Bounds of the exponential backoff between attempts to reserve a group.
 constexpr Duration kFirstBackoff = milliseconds(50);
 constexpr Duration kMaxBackoff = milliseconds(1000);
 
 constexpr Duration kPrunePeriod = seconds(10);
 
-// How long an offer may stay unanswered: a large prompt takes time to send.
+// How long an offer may remain unanswered.  Includes the time to send the prompt at the lowest
+// expected network speed.
 Duration OfferTimeout(const RequestInput& input) {
-  constexpr double kLeastBytesPerSecond = 5e6;
+  constexpr double kMinBytesPerSecond = 5e6;
   return kOfferTimeout +
-         FromSeconds(static_cast<double>(input.prompt->size()) / kLeastBytesPerSecond);
+         FromSeconds(static_cast<double>(input.prompt->size()) / kMinBytesPerSecond);
 }
 
-// The nearest place at or before `at` where a character of UTF-8 begins: half a
-// character at the end of one piece and half at the start of the next would be
-// two broken ones.
+// Returns the last position at or before `at` where a UTF-8 character begins.  A character that
+// is split between two pieces would be invalid in both.
 size_t CharacterStart(const std::string& text, size_t at) {
   while (at > 0 && at < text.size() && (static_cast<unsigned char>(text[at]) & 0xc0) == 0x80) --at;
   return at;
 }
 
-Ran Weaker(Ran a, Ran b) {
+// Returns the larger value in the order kNo, kUnknown, kYes.
+Ran MaxRan(Ran a, Ran b) {
   return static_cast<Ran>(std::max(static_cast<int>(a), static_cast<int>(b)));
 }
 
@@ -42,7 +43,7 @@
 EntryCore::EntryCore(EntryOptions entry_options, const ConfigFeed* feed, Time now)
     : options(std::move(entry_options)),
       config(feed),
-      view(this->options.incarnation),
+      fleet_view(this->options.incarnation),
       budget(RoutingSpec{}.retry_ratio),
       claims(this->options.claimer),
       random(this->options.seed),
@@ -62,7 +63,7 @@
   Duration retry_after{};
   ResultCode code = ResultCode::kOk;
   if (!this->config->IsReady(now, kMaxConfigLag)) code = ResultCode::kNotReady;
-  if (code == ResultCode::kOk && this->leaving) code = ResultCode::kDraining;
+  if (code == ResultCode::kOk && this->is_draining) code = ResultCode::kDraining;
   if (code != ResultCode::kOk) retry_after = kDefaultRetryAfter;
   if (code == ResultCode::kOk) code = this->CheckAccount(&request);
   if (code == ResultCode::kOk) code = this->CheckTarget(&request);
@@ -78,7 +79,7 @@
   if (admitted.input.idempotency_key != 0) {
     admitted.phase = Phase::kClaiming;
     this->claims.Claim(admitted.input.idempotency_key, id, now);
-    this->SettleClaims(now);
+    this->HandleClaimOutcomes(now);
   } else {
     this->Dispatch(&admitted, now);
   }
@@ -126,8 +127,8 @@
   if (model == nullptr) return ResultCode::kUnknownModel;
   auto [stats, added] = this->model_stats.try_emplace(request->model, model->bytes_per_token);
   request->prompt_tokens = stats->second.PromptTokens(request->input.prompt->size());
-  uint64_t all = request->prompt_tokens + request->input.max_tokens;
-  if (all > static_cast<uint64_t>(model->context_tokens)) return ResultCode::kPromptTooLong;
+  uint64_t total = request->prompt_tokens + request->input.max_tokens;
+  if (total > static_cast<uint64_t>(model->context_tokens)) return ResultCode::kPromptTooLong;
   for (const PrefixHash& prefix : request->input.prefixes) {
     uint64_t tokens =
         static_cast<uint64_t>(static_cast<double>(prefix.bytes) / stats->second.bytes_per_token());
@@ -144,10 +145,11 @@
   if (TimeLeft(request, now).count() <= 0) return ResultCode::kTimeTooShort;
   if (!request.input.service.empty()) return ResultCode::kOk;
   std::vector<EngineView> candidates =
-      this->view.Candidates(request.model, request.hints, now, /*include_penalised=*/true);
-  // With nobody there at all the dispatch says so.
+      this->fleet_view.Candidates(request.model, request.hints, now, /*include_penalised=*/true);
+  // Dispatch reports that there is no engine.
   if (candidates.empty()) return ResultCode::kOk;
-  RoutingRequest routing = this->RoutingOf(request);
+  RoutingRequest routing = this->MakeRoutingRequest(request);
+  // Estimated seconds to the first token.
   double least = -1;
   double share = this->config->state().Routing().group_memory_share;
   if (NeedsGroup(routing, candidates, share)) {
@@ -185,7 +187,7 @@
 
 // ------------------------------------------------------------------ dispatch
 
-RoutingRequest EntryCore::RoutingOf(const Request& request) const {
+RoutingRequest EntryCore::MakeRoutingRequest(const Request& request) const {
   const RoutingSpec& spec = this->config->state().Routing();
   RoutingRequest routing;
   routing.prompt_tokens = request.prompt_tokens;
@@ -208,9 +210,9 @@
     return;
   }
   std::vector<EngineView> candidates =
-      this->view.Candidates(request->model, request->hints, now, /*include_penalised=*/false);
+      this->fleet_view.Candidates(request->model, request->hints, now, /*include_penalised=*/false);
   if (candidates.empty()) {
-    candidates = this->view.Candidates(request->model, request->hints, now, true);
+    candidates = this->fleet_view.Candidates(request->model, request->hints, now, true);
   }
   std::erase_if(candidates,
                 [&](const EngineView& engine) { return request->excluded.count(engine.ref) > 0; });
@@ -218,7 +220,7 @@
     this->Fail(request, ResultCode::kNoEndpoint, kDefaultRetryAfter);
     return;
   }
-  RoutingRequest routing = this->RoutingOf(*request);
+  RoutingRequest routing = this->MakeRoutingRequest(*request);
   double share = this->config->state().Routing().group_memory_share;
   if (NeedsGroup(routing, candidates, share)) {
     this->StartGroup(request, candidates, now);
@@ -233,7 +235,7 @@
 }
 
 void EntryCore::DispatchService(Request* request, Time now) {
-  std::vector<std::string> boxes = this->view.ServiceBoxes(request->input.service, now);
+  std::vector<std::string> boxes = this->fleet_view.ServiceBoxes(request->input.service, now);
   std::erase_if(boxes, [&](const std::string& box) {
     return request->excluded.count(EngineRef{box, 0}) > 0;
   });
@@ -261,7 +263,7 @@
 
 void EntryCore::StartGroup(Request* request, const std::vector<EngineView>& candidates, Time now) {
   double share = this->config->state().Routing().group_memory_share;
-  std::vector<GroupPiece> plan = PlanGroup(this->RoutingOf(*request), candidates, share);
+  std::vector<GroupPiece> plan = PlanGroup(this->MakeRoutingRequest(*request), candidates, share);
   if (plan.empty()) {
     this->Fail(request, ResultCode::kNoMemory, kDefaultRetryAfter);
     return;
@@ -295,8 +297,8 @@
   offer.id = {request->id, piece.attempt};
   offer.engine = piece.plan.engine.engine;
   offer.model = request->model;
-  // Bytes are dealt out like tokens; the last piece takes what is left and what
-  // an earlier attempt has already answered.
+  // The prompt's bytes are divided in proportion to the tokens of the pieces.  The last piece
+  // takes the rest, followed by the text that earlier attempts have already generated.
   size_t begin = request->prompt_bytes_sent;
   size_t count = input.prompt->size() - begin;
   if (!last) {
@@ -309,8 +311,8 @@
   if (last) offer.prompt += request->delivered_text;
   request->prompt_bytes_sent += count;
   offer.prompt_tokens = piece.plan.prompt_tokens;
-  bool whole = request->pieces.size() == 1;
-  if (whole) offer.prefixes = request->hints;
+  bool is_single = request->pieces.size() == 1;
+  if (is_single) offer.prefixes = request->hints;
   offer.max_tokens = input.max_tokens - static_cast<uint32_t>(request->delivered_tokens);
   offer.priority = request->priority;
   offer.value = request->value;
@@ -329,11 +331,11 @@
   offer.sampling = input.sampling;
   piece.offered = true;
   piece.offered_at = now;
-  piece.dispatch = this->view.RecordDispatch(piece.plan.engine, request->priority,
-                                             piece.plan.prefill_seconds, piece.plan.memory_tokens);
+  piece.dispatch = this->fleet_view.RecordDispatch(
+      piece.plan.engine, request->priority, piece.plan.prefill_seconds, piece.plan.memory_tokens);
   offer.dispatch = piece.dispatch;
   piece.ran_before = request->ran;
-  request->ran = Weaker(request->ran, Ran::kUnknown);
+  request->ran = MaxRan(request->ran, Ran::kUnknown);
   ++this->counts.offers;
   this->actions.push_back(SendToBox{piece.plan.engine.box, std::move(offer)});
 }
@@ -346,7 +348,7 @@
   std::uniform_int_distribution<int64_t> jitter(backoff.count() / 2, backoff.count());
   request->retry_at = now + Duration(jitter(this->random));
   request->phase = Phase::kBackoff;
-  // What can no longer be done in time is given up now, not at its deadline.
+  // If the request can no longer finish in time, it fails now and not at its deadline.
   Duration retry_after{};
   ResultCode code = this->CheckEstimate(*request, now, &retry_after);
   if (code != ResultCode::kOk) this->Fail(request, code, retry_after);
@@ -356,7 +358,7 @@
 
 void EntryCore::OnMessage(const std::string& box, const Message& message, Time now) {
   if (const auto* heartbeat = std::get_if<EndpointHeartbeat>(&message)) {
-    this->view.OnHeartbeat(box, *heartbeat, now);
+    this->fleet_view.OnHeartbeat(box, *heartbeat, now);
   } else if (const auto* reserved = std::get_if<Reserved>(&message)) {
     this->OnReserved(box, *reserved, now);
   } else if (const auto* accepted = std::get_if<Accepted>(&message)) {
@@ -399,9 +401,9 @@
     return;
   }
   piece->reserved = true;
-  bool all = std::all_of(request->pieces.begin(), request->pieces.end(),
-                         [](const Piece& each) { return each.reserved; });
-  if (!all || request->phase != Phase::kReserving) return;
+  bool all_reserved = std::all_of(request->pieces.begin(), request->pieces.end(),
+                                  [](const Piece& each) { return each.reserved; });
+  if (!all_reserved || request->phase != Phase::kReserving) return;
   request->phase = Phase::kRunning;
   this->OfferPiece(request, now);
 }
@@ -422,14 +424,14 @@
   ++this->counts.offers_refused;
   EngineRef engine = piece->plan.engine;
   if (piece->offered) {
-    this->view.RecordPrefillEnd(engine, piece->dispatch);
-    // This offer was not run, so what is known is what was known before it.
+    this->fleet_view.RecordPrefillEnd(engine, piece->dispatch);
+    // This offer was not run, so the state before it holds again.
     request->ran = piece->ran_before;
   }
-  bool group = request->pieces.size() > 1;
-  if (group) {
-    bool unfit = refused.code != ResultCode::kNoMemory;
-    if (unfit) request->excluded.insert(engine);
+  bool is_group = request->pieces.size() > 1;
+  if (is_group) {
+    bool is_unusable = refused.code != ResultCode::kNoMemory;
+    if (is_unusable) request->excluded.insert(engine);
     if (request->ran == Ran::kNo || request->input.repeatable) {
       this->RetryGroupLater(request, now);
       return;
@@ -440,7 +442,7 @@
   request->pieces.clear();
   request->excluded.insert(engine);
   ++request->refusals;
-  // Elsewhere it must be able to finish too, or it is given up at once.
+  // If no other engine can finish the request in time, it fails at once.
   Duration retry_after = milliseconds(refused.retry_after_ms);
   ResultCode code = this->CheckEstimate(*request, now, &retry_after);
   if (request->refusals >= kMaxRefusals) code = refused.code;
@@ -464,15 +466,16 @@
   }
   if (chunk.index > request->next_chunk) {
     ++this->counts.gaps;
-    this->OnBroken(request, piece->plan.engine, ResultCode::kEndpointLost, now);
+    this->OnAttemptFailed(request, piece->plan.engine, ResultCode::kEndpointLost, now);
     return;
   }
-  if (request->next_chunk == 0) this->view.RecordPrefillEnd(piece->plan.engine, piece->dispatch);
+  if (request->next_chunk == 0)
+    this->fleet_view.RecordPrefillEnd(piece->plan.engine, piece->dispatch);
   if (request->delivered_tokens == 0) request->first_chunk_at = now;
   ++request->next_chunk;
   request->ran = Ran::kYes;
   request->delivered_tokens += chunk.tokens;
-  // Kept to continue elsewhere; a service's answer comes whole and is not.
+  // Kept to continue the answer on another engine.  A service's answer cannot be continued.
   if (request->input.service.empty()) request->delivered_text += chunk.text;
   this->actions.push_back(DeliverText{request->id, chunk.text, chunk.tokens});
 }
@@ -483,11 +486,11 @@
   if (request == nullptr) return;
   if (done.chunks != request->next_chunk) {
     ++this->counts.gaps;
-    this->OnBroken(request, piece->plan.engine, ResultCode::kEndpointLost, now);
+    this->OnAttemptFailed(request, piece->plan.engine, ResultCode::kEndpointLost, now);
     return;
   }
-  this->view.RecordPrefillEnd(piece->plan.engine, piece->dispatch);
-  this->view.RecordSuccess(piece->plan.engine);
+  this->fleet_view.RecordPrefillEnd(piece->plan.engine, piece->dispatch);
+  this->fleet_view.RecordSuccess(piece->plan.engine);
   piece->done = true;
   bool last = request->current_piece + 1 == request->pieces.size();
   if (last) {
@@ -503,22 +506,23 @@
   Piece* piece = nullptr;
   Request* request = this->FindCurrent(box, failed.id, &piece);
   if (request == nullptr) return;
-  request->ran = Weaker(request->ran, failed.ran);
-  bool deadline = failed.code == ResultCode::kDeadlineExceeded;
-  if (deadline) {
+  request->ran = MaxRan(request->ran, failed.ran);
+  bool deadline_exceeded = failed.code == ResultCode::kDeadlineExceeded;
+  if (deadline_exceeded) {
     this->Fail(request, failed.code, Duration{});
     return;
   }
-  this->OnBroken(request, piece->plan.engine, failed.code, now);
+  this->OnAttemptFailed(request, piece->plan.engine, failed.code, now);
 }
 
-// ------------------------------------------------------------- broken attempts
+// ------------------------------------------------------------- failed attempts
 
-void EntryCore::OnBroken(Request* request, const EngineRef& engine, ResultCode code, Time now) {
-  this->view.RecordFailure(engine, now);
-  // Nothing was offered yet (a group that was still reserving): start over.
-  bool safe = request->input.repeatable || request->ran == Ran::kNo;
-  if (!safe) {
+void EntryCore::OnAttemptFailed(Request* request, const EngineRef& engine, ResultCode code,
+                                Time now) {
+  this->fleet_view.RecordFailure(engine, now);
+  // `ran` is kNo if nothing was offered yet, as in a group that was still reserving.
+  bool may_retry = request->input.repeatable || request->ran == Ran::kNo;
+  if (!may_retry) {
     this->Fail(request, code, Duration{});
     return;
   }
@@ -528,17 +532,17 @@
   bool complete =
       request->delivered_tokens >= request->input.max_tokens && request->input.service.empty();
   if (complete) {
-    // All that was asked for had been passed on; only the last word was lost.
+    // All tokens were passed on; only the attempt's Done message is missing.
     Done done;
     done.finish_reason = "length";
     done.prompt_tokens = request->prompt_tokens;
     this->Finish(request, done, now);
     return;
   }
+  bool is_partly_delivered = request->delivered_tokens > 0 || !request->delivered_text.empty();
   // A plain service's answer cannot be continued.
-  bool partly_passed_on = request->delivered_tokens > 0 || !request->delivered_text.empty();
-  bool service_broken = !request->input.service.empty() && request->ran == Ran::kYes;
-  if (service_broken) {
+  bool is_broken_service_answer = !request->input.service.empty() && request->ran == Ran::kYes;
+  if (is_broken_service_answer) {
     this->Fail(request, code, Duration{});
     return;
   }
@@ -547,12 +551,12 @@
     return;
   }
   ++this->counts.retries;
-  if (partly_passed_on) ++this->counts.continued;
+  if (is_partly_delivered) ++this->counts.continued;
   this->Dispatch(request, now);
 }
 
 void EntryCore::OnBoxLost(const std::string& box, Time now) {
-  this->view.OnBoxLost(box);
+  this->fleet_view.OnBoxLost(box);
   std::vector<std::pair<RequestId, EngineRef>> broken;
   for (const auto& [id, request] : this->requests) {
     for (const Piece& piece : request.pieces) {
@@ -563,19 +567,19 @@
   }
   for (const auto& [id, engine] : broken) {
     Request* request = this->Find(id);
-    if (request != nullptr) this->OnBroken(request, engine, ResultCode::kEndpointLost, now);
+    if (request != nullptr) this->OnAttemptFailed(request, engine, ResultCode::kEndpointLost, now);
   }
 }
 
 void EntryCore::DropPieces(Request* request) {
   for (const Piece& piece : request->pieces) {
-    if (piece.offered) this->view.RecordPrefillEnd(piece.plan.engine, piece.dispatch);
+    if (piece.offered) this->fleet_view.RecordPrefillEnd(piece.plan.engine, piece.dispatch);
     this->actions.push_back(SendToBox{piece.plan.engine.box, Cancel{{request->id, piece.attempt}}});
   }
   request->pieces.clear();
 }
 
-// -------------------------------------------------------------------- the end
+// ------------------------------------------------------------- end of a request
 
 void EntryCore::Finish(Request* request, const Done& done, Time now) {
   ++this->counts.finished;
@@ -593,8 +597,9 @@
   answer.content_type = done.content_type;
   if (!request->pieces.empty()) {
     const Piece& last = request->pieces.back();
-    if (request->pieces.size() == 1) this->view.RecordPrefixes(last.plan.engine, request->hints);
-    // The last attempt is over; the others hold memory until they are told.
+    if (request->pieces.size() == 1)
+      this->fleet_view.RecordPrefixes(last.plan.engine, request->hints);
+    // The last attempt is complete; the others hold memory until they are cancelled.
     request->pieces.pop_back();
     this->DropPieces(request);
   }
@@ -604,21 +609,21 @@
                           answer.completion_tokens, ToSeconds(now - request->first_chunk_at));
   }
   this->actions.push_back(std::move(answer));
-  this->End(request);
+  this->Remove(request);
 }
 
 void EntryCore::Fail(Request* request, ResultCode code, Duration retry_after) {
   this->DropPieces(request);
   ++this->counts.failed;
-  // Only what was not run may claim that coming back helps with the same key.
+  // The key is released, for a retry with the same key, only if the request was not run.
   if (request->holds_key && request->ran == Ran::kNo) {
     this->claims.Release(request->input.idempotency_key, request->id);
   }
   this->actions.push_back(FailAnswer{request->id, code, request->ran, ToMillis(retry_after)});
-  this->End(request);
+  this->Remove(request);
 }
 
-void EntryCore::End(Request* request) {
+void EntryCore::Remove(Request* request) {
   this->account_limits.Finish(request->account);
   this->requests.erase(request->id);
 }
@@ -632,10 +637,10 @@
   if (request->holds_key && request->ran == Ran::kNo) {
     this->claims.Release(request->input.idempotency_key, id);
   }
-  this->End(request);
+  this->Remove(request);
 }
 
-// --------------------------------------------------------------- the other ones
+// ----------------------------------------------------- configuration, claims, time
 
 void EntryCore::OnBoxList(size_t entries, const std::set<std::string>& leaving_boxes) {
   this->account_limits.SetEntries(entries);
@@ -643,7 +648,7 @@
   for (const ConfigObject* object : this->config->state().All("leaving")) {
     all.insert(object->id.name);
   }
-  this->view.SetLeaving(all);
+  this->fleet_view.SetLeaving(all);
 }
 
 void EntryCore::OnConfigChanged() {
@@ -656,10 +661,10 @@
 
 void EntryCore::OnClaimRecord(const ClaimBatch& batch, Time now) {
   this->claims.OnRecord(batch, now);
-  this->SettleClaims(now);
+  this->HandleClaimOutcomes(now);
 }
 
-void EntryCore::SettleClaims(Time now) {
+void EntryCore::HandleClaimOutcomes(Time now) {
   for (const ClaimOutcome& outcome : this->claims.TakeOutcomes()) {
     Request* request = this->Find(outcome.request);
     if (request == nullptr) continue;
@@ -667,7 +672,7 @@
       request->holds_key = true;
       this->Dispatch(request, now);
     } else if (outcome.kind == ClaimOutcome::Kind::kLost) {
-      // Whether the holder of the key has run is not known here.
+      // This entry cannot determine whether the request that holds the key has run.
       request->ran = Ran::kUnknown;
       this->Fail(request, ResultCode::kKeyAlreadyClaimed, Duration{});
     } else {
@@ -676,40 +681,40 @@
   }
 }
 
-void EntryCore::Drain() { this->leaving = true; }
+void EntryCore::Drain() { this->is_draining = true; }
 
 void EntryCore::Tick(Time now) {
-  std::vector<RequestId> late;
+  std::vector<RequestId> expired;
   std::vector<RequestId> retry;
   std::vector<RequestId> unanswered;
   for (const auto& [id, request] : this->requests) {
     if (request.deadline <= now) {
-      late.push_back(id);
+      expired.push_back(id);
     } else if (request.phase == Phase::kBackoff) {
       if (request.retry_at <= now) retry.push_back(id);
     } else if (request.input.repeatable && request.pieces.size() == 1) {
       const Piece& piece = request.pieces.front();
-      bool silent = !piece.accepted && now - piece.offered_at >= OfferTimeout(request.input);
-      if (silent && request.next_chunk == 0) unanswered.push_back(id);
+      bool is_unanswered = !piece.accepted && now - piece.offered_at >= OfferTimeout(request.input);
+      if (is_unanswered && request.next_chunk == 0) unanswered.push_back(id);
     }
   }
-  for (const RequestId& id : late) {
+  for (const RequestId& id : expired) {
     this->Fail(this->Find(id), ResultCode::kDeadlineExceeded, Duration{});
   }
   for (const RequestId& id : retry) this->Dispatch(this->Find(id), now);
   for (const RequestId& id : unanswered) {
     Request* request = this->Find(id);
     EngineRef engine = request->pieces.front().plan.engine;
-    this->OnBroken(request, engine, ResultCode::kEndpointLost, now);
+    this->OnAttemptFailed(request, engine, ResultCode::kEndpointLost, now);
   }
   if (std::optional<ClaimBatch> batch = this->claims.Tick(now)) {
     this->actions.push_back(AppendClaims{*std::move(batch)});
   }
-  this->SettleClaims(now);
+  this->HandleClaimOutcomes(now);
   if (now - this->last_prune < kPrunePeriod) return;
   this->last_prune = now;
   this->account_limits.Prune(now);
-  this->view.Prune(now);
+  this->fleet_view.Prune(now);
 }
 
 std::vector<EntryAction> EntryCore::TakeActions() { return std::exchange(this->actions, {}); }
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -1,12 +1,12 @@
-// How many retries an entry may make, so that trouble does not feed itself.
+// Limits the retries of an entry, so that retries cannot overload the engines that are left.
 //
-// When half the engines die at once, every request on them wants a second try,
-// on the half that is left.  A budget keeps retries to a small fraction of what
-// succeeds: each success adds `ratio` of a retry, each retry takes one, and the
-// purse never holds more than kMaxRetries.
+// When half of the engines crash at once, all of their requests are due for a retry on the
+// other half.  The budget limits retries to a small fraction of the requests that succeed:
+// each success adds `ratio` retries to the balance, each retry takes one from it, and the
+// balance never exceeds kMaxRetries.
 //
 //   RetryBudget budget(0.1);
-//   if (!budget.Take()) ...          // give the request up, at once
+//   if (!budget.Take()) ...          // fail the request at once
 
 #ifndef GULLWARD_REQUEST_RETRY_BUDGET_H_
 #define GULLWARD_REQUEST_RETRY_BUDGET_H_
@@ -15,7 +15,7 @@
 
 namespace gullward {
 
-// Retries that can be saved up; an entry starts with these.
+// Upper bound of the balance, in retries.  An entry starts with a full balance.
 inline constexpr double kMaxRetries = 20;
 
 class RetryBudget {
@@ -24,21 +24,21 @@
 
   void SetRatio(double retries_per_success) { this->ratio = retries_per_success; }
 
-  // Notes a request that succeeded.
-  void AddSuccess() { this->purse = std::min(this->purse + this->ratio, kMaxRetries); }
+  // Adds the share of a retry that one successful request earns.
+  void AddSuccess() { this->balance = std::min(this->balance + this->ratio, kMaxRetries); }
 
-  // Takes one retry, or says that there is none left.
+  // Takes one retry from the balance.  Returns false if less than one is left.
   bool Take() {
-    if (this->purse < 1) return false;
-    this->purse -= 1;
+    if (this->balance < 1) return false;
+    this->balance -= 1;
     return true;
   }
 
-  double left() const { return this->purse; }
+  double left() const { return this->balance; }
 
  private:
   double ratio;
-  double purse = kMaxRetries;
+  double balance = kMaxRetries;
 };
 
 }  // namespace gullward
