--- a/src/admission/account_limits.cc
+++ b/src/admission/account_limits.cc
@@ -1,4 +1,4 @@
-// account_limits.h tells the method.
+// See account_limits.h for the limits and their division between entries.
 
 #include "admission/account_limits.h"
 
@@ -8,11 +8,12 @@
 namespace gullward {
 namespace {
 
-// How soon a caller over its number in flight is asked to come back.
+// Retry-after of a request over the limit of requests in flight.
 constexpr Duration kInFlightRetry = seconds(1);
 
+// Returns the smaller of two limits, of which 0 means no limit.
 template <typename T>
-T Smaller(T a, T b) {
+T SmallerLimit(T a, T b) {
   if (a == 0) return b;
   if (b == 0) return a;
   return std::min(a, b);
@@ -25,9 +26,9 @@
   for (const ConfigObject* object : config.All("limit")) {
     const auto& spec = std::get<LimitSpec>(object->spec);
     if (!Matches(spec.accounts, account.labels)) continue;
-    limit.tokens_per_second = Smaller(limit.tokens_per_second, spec.tokens_per_second);
-    limit.burst_tokens = Smaller(limit.burst_tokens, spec.burst_tokens);
-    limit.max_in_flight = Smaller(limit.max_in_flight, spec.max_in_flight);
+    limit.tokens_per_second = SmallerLimit(limit.tokens_per_second, spec.tokens_per_second);
+    limit.burst_tokens = SmallerLimit(limit.burst_tokens, spec.burst_tokens);
+    limit.max_in_flight = SmallerLimit(limit.max_in_flight, spec.max_in_flight);
   }
   return limit;
 }
@@ -45,14 +46,14 @@
   if (limit.tokens_per_second > 0) {
     state.rate = limit.tokens_per_second / share;
     state.burst = std::max(limit.burst_tokens, limit.tokens_per_second) / share;
-    if (state.fresh) state.bucket = state.burst;
-    state.fresh = false;
+    if (state.is_new) state.bucket = state.burst;
+    state.is_new = false;
     state.bucket += ToSeconds(now - state.filled_at) * state.rate;
     state.bucket = std::min(state.bucket, state.burst);
     state.filled_at = now;
     auto wanted = static_cast<double>(tokens);
-    // A request larger than the whole bucket is let in when the bucket is full
-    // and leaves a debt, or it could never be served.
+    // A request larger than the bucket is admitted when the bucket is full and leaves a negative
+    // balance.  Otherwise it could never be served.
     double needed = std::min(wanted, state.burst);
     if (state.bucket < needed) {
       return {ResultCode::kRateLimited, FromSeconds((needed - state.bucket) / state.rate)};
@@ -72,8 +73,8 @@
   for (auto it = this->states.begin(); it != this->states.end();) {
     const State& state = it->second;
     double bucket = state.bucket + ToSeconds(now - state.filled_at) * state.rate;
-    bool idle = state.in_flight == 0 && bucket >= state.burst;
-    it = idle ? this->states.erase(it) : std::next(it);
+    bool is_idle = state.in_flight == 0 && bucket >= state.burst;
+    it = is_idle ? this->states.erase(it) : std::next(it);
   }
 }
 
--- a/src/admission/account_limits.h
+++ b/src/admission/account_limits.h
@@ -1,15 +1,14 @@
-// Limits per client account: token rate, requests in flight.
+// Enforces the limits of client accounts: the token rate and the number of requests in flight.
 //
-// The limits of an account are those of the [[limit]] objects whose selectors
-// match its labels; where several match, the smallest of each kind counts.  A
-// token bucket holds the rate: it fills at tokens_per_second up to burst_tokens
-// and an admitted request takes its prompt and answer out of it.
+// The limits of an account are those of the [[limit]] objects whose selectors match the account's
+// labels.  Where several match, the smallest value of each kind applies.  A token bucket enforces
+// the rate: the bucket fills at tokens_per_second up to burst_tokens, and an admitted request
+// takes the tokens of its prompt and its answer from it.
 //
-// Entries share a limit without asking each other: each of the N entries that
-// the box list names takes 1/N of it.  With the balancer spreading requests
-// evenly that is the limit; in the worst case (the list lags after an entry was
-// added) the account exceeds its limit by one share for as long as the list
-// lags.  An entry counts at least itself.
+// Entries divide a limit without communication: each of the N entries in the box list enforces
+// 1/N of it.  If the load balancer spreads requests evenly, the sum is the limit.  In the worst
+// case (the list lags after an entry was added) the account exceeds its limit by one share until
+// the list is up to date.  An entry counts at least itself.
 //
 //   AccountLimits limits;
 //   limits.SetEntries(2);
@@ -29,7 +28,7 @@
 
 namespace gullward {
 
-// The limits that count for one account; 0 means none.
+// The limits that apply to one account; 0 means no limit.
 struct EffectiveLimit {
   double tokens_per_second = 0;
   double burst_tokens = 0;
@@ -38,13 +37,14 @@
   bool operator==(const EffectiveLimit&) const = default;
 };
 
-// Combines the [[limit]] objects that match the account's labels.
+// Returns the smallest limits of the [[limit]] objects that match the account's labels.
 EffectiveLimit LimitOf(const ConfigState& config, const AccountSpec& account);
 
+// Whether a request is within the limits of its account.
 struct LimitResult {
   // kOk, kRateLimited or kTooManyInFlight.
   ResultCode code = ResultCode::kOk;
-  // When it makes sense to come back, where the code is not kOk.
+  // After how long a retry may succeed, if the code is not kOk.
   Duration retry_after{};
 
   bool operator==(const LimitResult&) const = default;
@@ -52,17 +52,18 @@
 
 class AccountLimits {
  public:
-  // How many entries share the limits; at least 1.
+  // Sets the number of entries that divide the limits; 0 counts as 1.
   void SetEntries(size_t count);
 
-  // Takes the tokens and a place in flight, or says why not.
+  // Admits a request of `tokens` tokens and counts it as in flight, or returns the limit that it
+  // exceeds.
   LimitResult Admit(const std::string& account, const EffectiveLimit& limit, uint64_t tokens,
                     Time now);
 
-  // Gives the place in flight back.
+  // Ends a request that was admitted.
   void Finish(const std::string& account);
 
-  // Forgets accounts that are idle and whose bucket is full again.
+  // Removes accounts that have no request in flight and whose bucket is full again.
   void Prune(Time now);
 
   size_t accounts() const { return this->states.size(); }
@@ -70,12 +71,15 @@
 
  private:
   struct State {
+    // Tokens in the bucket at `filled_at`; negative after a request larger than the bucket.
     double bucket = 0;
+    // This entry's share of the rate, in tokens per second, and of the bucket's size.
     double rate = 0;
     double burst = 0;
     Time filled_at;
     int64_t in_flight = 0;
-    bool fresh = true;
+    // True until the bucket is first filled.
+    bool is_new = true;
   };
 
   size_t entries = 1;
--- a/src/admission/testing/account_limits_test.cc
+++ b/src/admission/testing/account_limits_test.cc
@@ -1,4 +1,4 @@
-// Token rates and places in flight, alone and shared between entries.
+// Tests the limits of token rate and requests in flight, for one entry and for several.
 
 #define BOOST_TEST_MODULE account_limits
 #include "admission/account_limits.h"
@@ -10,19 +10,19 @@
 
 constexpr Time kStart{std::chrono::seconds(100)};
 
-BOOST_AUTO_TEST_CASE(ABucketFillsAtItsRate) {
+BOOST_AUTO_TEST_CASE(TheBucketFillsAtItsRate) {
   AccountLimits limits;
   EffectiveLimit limit{100, 200, 0};
   BOOST_TEST((limits.Admit("a", limit, 150, kStart).code == ResultCode::kOk));
   LimitResult refused = limits.Admit("a", limit, 100, kStart);
   BOOST_TEST((refused.code == ResultCode::kRateLimited));
-  // Half a second of 100 a second is what is missing: coming back then helps.
+  // The 50 missing tokens take half a second at 100 tokens per second.
   BOOST_TEST((refused.retry_after == milliseconds(500)));
   Time back = kStart + refused.retry_after;
   BOOST_TEST((limits.Admit("a", limit, 100, back).code == ResultCode::kOk));
 }
 
-BOOST_AUTO_TEST_CASE(ARequestLargerThanTheBucketIsServedAndPaidFor) {
+BOOST_AUTO_TEST_CASE(ARequestLargerThanTheBucketLeavesANegativeBalance) {
   AccountLimits limits;
   EffectiveLimit limit{100, 200, 0};
   BOOST_TEST((limits.Admit("a", limit, 1000, kStart).code == ResultCode::kOk));
@@ -31,7 +31,7 @@
   BOOST_TEST((limits.Admit("a", limit, 1, kStart + seconds(9)).code == ResultCode::kOk));
 }
 
-BOOST_AUTO_TEST_CASE(PlacesInFlightComeBack) {
+BOOST_AUTO_TEST_CASE(FinishedRequestsNoLongerCountAsInFlight) {
   AccountLimits limits;
   EffectiveLimit limit{0, 0, 2};
   limits.Admit("a", limit, 1, kStart);
@@ -42,8 +42,8 @@
   BOOST_TEST((limits.Admit("a", limit, 1, kStart).code == ResultCode::kOk));
 }
 
-// However many entries share the limit, together they admit it, and no more.
-BOOST_AUTO_TEST_CASE(EntriesShareALimit) {
+// For any number of entries, all entries together admit the limit and no more.
+BOOST_AUTO_TEST_CASE(EntriesDivideALimit) {
   for (size_t entries : {1u, 2u, 3u, 8u}) {
     std::vector<AccountLimits> all(entries);
     for (AccountLimits& limits : all) limits.SetEntries(entries);
@@ -54,13 +54,13 @@
       AccountLimits& limits = all[static_cast<size_t>(step) % entries];
       if (limits.Admit("a", limit, 50, now).code == ResultCode::kOk) admitted += 50;
     }
-    // Ten seconds at 1,000 a second after a burst of 1,000.
+    // A burst of 1,000 tokens, then ten seconds at 1,000 tokens per second.
     BOOST_TEST(admitted <= 11'000u);
     BOOST_TEST(admitted >= 10'000u);
   }
 }
 
-BOOST_AUTO_TEST_CASE(IdleAccountsAreForgotten) {
+BOOST_AUTO_TEST_CASE(IdleAccountsAreRemoved) {
   AccountLimits limits;
   EffectiveLimit limit{100, 100, 0};
   limits.Admit("a", limit, 50, kStart);
--- a/src/routing/fleet_view.cc
+++ b/src/routing/fleet_view.cc
@@ -1,4 +1,4 @@
-// fleet_view.h tells the method.
+// See fleet_view.h for how reports and own dispatches are combined.
 
 #include "routing/fleet_view.h"
 
@@ -7,7 +7,7 @@
 namespace gullward {
 namespace {
 
-// Engines remembered for one prefix; the most recent ones.
+// Upper bound of the engines kept for one prefix, the most recent ones.
 constexpr size_t kMaxEnginesPerPrefix = 4;
 
 }  // namespace
@@ -31,14 +31,14 @@
 
 void FleetView::OnHeartbeat(const std::string& name, const EndpointHeartbeat& heartbeat, Time now) {
   Box& box = this->boxes[name];
-  bool restarted = box.report.incarnation != heartbeat.incarnation;
-  if (restarted) {
+  bool has_restarted = box.report.incarnation != heartbeat.incarnation;
+  if (has_restarted) {
     box.leaving = false;
     box.own.clear();
     box.penalties.clear();
   }
   box.report = heartbeat;
-  box.heard = now;
+  box.last_heartbeat = now;
   box.connected = true;
   box.leaving = box.leaving || heartbeat.leaving;
   for (const IncludedDispatch& included : heartbeat.included) {
@@ -59,7 +59,7 @@
 
 void FleetView::Prune(Time now) {
   std::erase_if(this->boxes, [&](const auto& item) {
-    return !item.second.connected && now - item.second.heard >= kForgetBoxAfter;
+    return !item.second.connected && now - item.second.last_heartbeat >= kForgetBoxAfter;
   });
 }
 
@@ -101,12 +101,12 @@
 
 void FleetView::RememberPrefix(const CacheHint& hint, const EngineRef& ref) {
   auto [found, added] = this->prefixes.try_emplace(hint.prefix_hash);
-  PrefixPlaces& places = found->second;
-  places.tokens = hint.tokens;
-  auto known = std::find(places.engines.begin(), places.engines.end(), ref);
-  if (known != places.engines.end()) places.engines.erase(known);
-  places.engines.insert(places.engines.begin(), ref);
-  if (places.engines.size() > kMaxEnginesPerPrefix) places.engines.pop_back();
+  PrefixLocations& locations = found->second;
+  locations.tokens = hint.tokens;
+  auto known = std::find(locations.engines.begin(), locations.engines.end(), ref);
+  if (known != locations.engines.end()) locations.engines.erase(known);
+  locations.engines.insert(locations.engines.begin(), ref);
+  if (locations.engines.size() > kMaxEnginesPerPrefix) locations.engines.pop_back();
   if (!added) return;
   this->prefix_order.push_back(hint.prefix_hash);
   if (this->prefix_order.size() <= kMaxPrefixes) return;
@@ -117,7 +117,7 @@
 bool FleetView::Usable(const std::string& name, const Box& box, Time now) const {
   if (!box.connected || box.leaving) return false;
   if (this->leaving_boxes.count(name) > 0) return false;
-  return now - box.heard < kHeartbeatTimeout;
+  return now - box.last_heartbeat < kHeartbeatTimeout;
 }
 
 EngineView FleetView::ViewOf(const std::string& name, const Box& box,
@@ -130,16 +130,17 @@
   view.speed = {load.seconds_per_token, load.seconds_per_token_pair};
   view.backlog_seconds.reserve(load.backlog_ms.size());
   for (double millis : load.backlog_ms) view.backlog_seconds.push_back(millis / 1000);
-  uint64_t promised = 0;
+  uint64_t dispatched_tokens = 0;
   for (const Dispatch& own : box.own) {
     if (own.engine != load.engine) continue;
     ++view.outstanding;
-    promised += own.tokens;
+    dispatched_tokens += own.tokens;
     if (own.priority < view.backlog_seconds.size()) {
       view.backlog_seconds[own.priority] += own.prefill_seconds;
     }
   }
-  view.free_tokens = load.free_tokens > promised ? load.free_tokens - promised : 0;
+  view.free_tokens =
+      load.free_tokens > dispatched_tokens ? load.free_tokens - dispatched_tokens : 0;
   return view;
 }
 
@@ -160,8 +161,8 @@
     for (const EngineLoad& load : box.report.engines) {
       if (!load.up || load.model != model) continue;
       auto penalty = box.penalties.find(load.engine);
-      bool penalised = penalty != box.penalties.end() && now < penalty->second.until;
-      if (penalised && !include_penalised) continue;
+      bool is_penalised = penalty != box.penalties.end() && now < penalty->second.until;
+      if (is_penalised && !include_penalised) continue;
       EngineView view = this->ViewOf(name, box, load);
       auto hit = cached.find(view.ref);
       if (hit != cached.end()) view.cached_tokens = hit->second;
--- a/src/routing/fleet_view.h
+++ b/src/routing/fleet_view.h
@@ -1,10 +1,10 @@
-// What one entry knows of the fleet, and how it counts what it has sent itself.
+// An entry's view of the fleet: the last load report of each endpoint box plus the entry's own
+// dispatches since that report.
 //
-// Load reports lag.  If every entry believed them as they are, all would send
-// to the engine that looked idle a second ago, and herd.  So each report says,
-// per entry, the last dispatch that it counts; this entry adds its own later
-// dispatches to it, and no other.  A dispatch leaves the sum when a report
-// includes it, or when its prefill is known to be over.
+// Load reports lag behind.  If entries used them alone, all entries would send their requests to
+// the engine that was idle a second ago.  So each report states, for each entry, the last
+// dispatch that it counts, and the entry adds its own later dispatches to the reported load.  A
+// dispatch no longer counts once a report includes it or its prefill is known to have ended.
 //
 //   FleetView fleet(own_incarnation);
 //   fleet.OnHeartbeat("box-3", heartbeat, now);
@@ -12,9 +12,8 @@
 //   fleet.RecordPrefillEnd(engine, number);
 //   std::vector<EngineView> views = fleet.Candidates(model, now);
 //
-// Leaving sticks: once a box has been heard to leave, by its own word, by the
-// platform's list or by the configuration, it gets nothing new until it comes
-// back under another incarnation.
+// A box is leaving if its own heartbeat, the platform's list or the configuration says so, and
+// gets no new work.  A heartbeat that says so holds until the box reports another incarnation.
 
 #ifndef GULLWARD_ROUTING_FLEET_VIEW_H_
 #define GULLWARD_ROUTING_FLEET_VIEW_H_
@@ -33,19 +32,20 @@
 
 namespace gullward {
 
-// An endpoint box that has not been heard of for so long gets no new work.
+// A box whose last heartbeat is this old gets no new work.
 inline constexpr Duration kHeartbeatTimeout = seconds(3);
 
-// Prefix hashes that are remembered for the whole fleet.
+// Upper bound of the prefix hashes kept for the whole fleet.
 inline constexpr size_t kMaxPrefixes = 200'000;
 
-// How long a box that is gone is remembered.
+// How long a disconnected box is kept after its last heartbeat.
 inline constexpr Duration kForgetBoxAfter = std::chrono::minutes(10);
 
-// How long a failed engine is left out at first, and at most.
+// How long an engine is left out after its first failure, and at most.
 inline constexpr Duration kFirstPenalty = seconds(1);
 inline constexpr Duration kMaxPenalty = seconds(30);
 
+// Names an engine by its box and its index on the box.
 struct EngineRef {
   std::string box;
   uint32_t engine = 0;
@@ -53,23 +53,25 @@
   auto operator<=>(const EngineRef&) const = default;
 };
 
-// One engine as the choice of endpoint sees it.
+// One engine as the routing policies see it.
 struct EngineView {
   EngineRef ref;
   uint64_t total_tokens = 0;
-  // Reported free memory less what was dispatched since.
+  // Tokens of free memory: the reported ones less those of later own dispatches.
   uint64_t free_tokens = 0;
-  // Prefill seconds still to do, by priority, own dispatches included.
+  // Seconds of prefill not yet done, by priority, including later own dispatches.
   std::vector<double> backlog_seconds;
+  // Requests in flight, including later own dispatches.
   uint32_t outstanding = 0;
+  // Long prompts on the engine.
   uint32_t long_running = 0;
   PrefillSpeed speed;
-  // Prompt tokens of the request at hand that its cache is thought to hold.
+  // Prompt tokens of the request that the engine's cache probably holds.
   uint64_t cached_tokens = 0;
 
-  // Seconds of work of equal or higher priority.
+  // Seconds of prefill of equal or higher priority.
   double WaitSeconds(uint32_t priority) const;
-  // Whether there is prefill of lower priority.
+  // Whether prefill of lower priority is left to do.
   bool HasLowerPriorityPrefill(uint32_t priority) const;
 };
 
@@ -79,46 +81,48 @@
 
   void OnHeartbeat(const std::string& box, const EndpointHeartbeat& heartbeat, Time now);
 
-  // The connection to a box is lost; it is out until its next heartbeat.
+  // The connection to a box is lost: the box is unusable until its next heartbeat.
   void OnBoxLost(const std::string& box);
 
-  // Forgets boxes that have been gone for kForgetBoxAfter: boxes are replaced all
-  // day, and a new one may have a new name.
+  // Removes disconnected boxes whose last heartbeat is kForgetBoxAfter old.  Boxes are replaced all
+  // the time, and a new box may have a new name, so the map would grow without limit.
   void Prune(Time now);
 
-  // A box is leaving, as the platform's list or the configuration says.
+  // Sets the boxes that are leaving according to the platform's list or the configuration.
   void SetLeaving(const std::set<std::string>& boxes);
 
-  // Notes work sent to an engine and gives it the number that goes with the
-  // offer.  Numbers count per box.
+  // Records work sent to an engine and returns its number, which the offer carries.  Each box has
+  // its own sequence of numbers.
   uint64_t RecordDispatch(const EngineRef& ref, uint32_t priority, double prefill_seconds,
                           uint64_t tokens);
 
-  // Notes that a dispatch's prefill is over, by its first token or its end.
+  // Records that the prefill of a dispatch has ended: its first token has arrived, or the attempt
+  // is over.
   void RecordPrefillEnd(const EngineRef& ref, uint64_t dispatch);
 
-  // An attempt broke on this engine: it is left out for a while that doubles
-  // with each failure in a row, so it is let back in gradually.
+  // Records that an attempt failed on this engine.  The engine is left out for a time that doubles
+  // with each failure up to kMaxPenalty, so that a failing engine is readmitted gradually.  A
+  // success ends the penalty.
   void RecordFailure(const EngineRef& ref, Time now);
   void RecordSuccess(const EngineRef& ref);
 
-  // Notes that an engine has just computed a prompt with these prefixes.
+  // Records that an engine has just computed a prompt with these prefixes.
   void RecordPrefixes(const EngineRef& ref, const std::vector<CacheHint>& prefixes);
 
-  // The engines that may be given a request for this model now; cached_tokens is
-  // filled in from the prompt's prefixes.  With `include_penalised`, also those
-  // left out for their failures.
+  // Returns the engines that may get a request for this model now, with cached_tokens set from
+  // the prompt's prefixes.  With `include_penalised`, includes engines that are left out because
+  // of their failures.
   std::vector<EngineView> Candidates(const std::string& model,
                                      const std::vector<CacheHint>& prefixes, Time now,
                                      bool include_penalised) const;
 
-  // Boxes in front of a plain service that may be given a call now.
+  // Returns the boxes that may get a call to this plain service now.
   std::vector<std::string> ServiceBoxes(const std::string& service, Time now) const;
 
-  // Whether any engine of the fleet, usable now or not, serves the model.
+  // Whether any engine of the fleet serves the model, even if it is not usable now.
   bool HasModel(const std::string& model) const;
 
-  // For dumps.
+  // State of one box, for status pages.
   struct BoxInfo {
     std::string box;
     uint64_t incarnation = 0;
@@ -147,11 +151,12 @@
 
   struct Box {
     EndpointHeartbeat report;
-    Time heard;
+    Time last_heartbeat;
     bool connected = false;
-    // Its own word, which sticks for the incarnation.
+    // Whether a heartbeat of this incarnation has said that the box is leaving.
     bool leaving = false;
     uint64_t next_dispatch = 1;
+    // Own dispatches that the last report does not include.
     std::deque<Dispatch> own;
     std::map<uint32_t, Penalty> penalties;
   };
@@ -163,11 +168,13 @@
   uint64_t incarnation;
   std::map<std::string, Box> boxes;
   std::set<std::string> leaving_boxes;
-  struct PrefixPlaces {
+  // The engines that probably hold a prefix, most recent first.
+  struct PrefixLocations {
     uint64_t tokens = 0;
     std::vector<EngineRef> engines;
   };
-  std::unordered_map<uint64_t, PrefixPlaces> prefixes;
+  std::unordered_map<uint64_t, PrefixLocations> prefixes;
+  // Prefix hashes in the order of insertion; the oldest is removed first.
   std::deque<uint64_t> prefix_order;
 };
 
--- a/src/routing/group_plan.cc
+++ b/src/routing/group_plan.cc
@@ -1,4 +1,4 @@
-// group_plan.h tells the method.
+// See group_plan.h for how engines are chosen and pieces ordered.
 
 #include "routing/group_plan.h"
 
@@ -7,13 +7,15 @@
 namespace gullward {
 namespace {
 
+// Tokens of the engine's memory that groups may use.
 uint64_t ShareOf(const EngineView& engine, double memory_share) {
   return static_cast<uint64_t>(static_cast<double>(engine.total_tokens) * memory_share);
 }
 
-// Engines with room for their share now come first, then those free soonest.
-std::vector<EngineView> ByReadiness(const RoutingRequest& request,
-                                    std::vector<EngineView> candidates, double memory_share) {
+// Sorts the engines by when a piece can start: engines whose share is free now come first, then
+// those that run fewer long prompts, then those with the shorter wait.
+std::vector<EngineView> SortByReadiness(const RoutingRequest& request,
+                                        std::vector<EngineView> candidates, double memory_share) {
   auto has_room = [&](const EngineView& engine) {
     return engine.free_tokens >= ShareOf(engine, memory_share);
   };
@@ -39,33 +41,33 @@
 std::vector<GroupPiece> PlanGroup(const RoutingRequest& request,
                                   const std::vector<EngineView>& candidates, double memory_share) {
   uint64_t needed = request.prompt_tokens + request.max_tokens;
-  uint64_t found = 0;
+  uint64_t available = 0;
   std::vector<EngineView> members;
-  for (const EngineView& engine : ByReadiness(request, candidates, memory_share)) {
-    if (found >= needed || members.size() == kMaxPieces) break;
-    found += ShareOf(engine, memory_share);
+  for (const EngineView& engine : SortByReadiness(request, candidates, memory_share)) {
+    if (available >= needed || members.size() == kMaxPieces) break;
+    available += ShareOf(engine, memory_share);
     members.push_back(engine);
   }
-  if (found < needed) return {};
+  if (available < needed) return {};
   std::sort(members.begin(), members.end(),
             [](const EngineView& a, const EngineView& b) { return a.ref < b.ref; });
 
-  // Every engine takes the same part of its own share.
-  double fill = static_cast<double>(needed) / static_cast<double>(found);
+  // Each engine fills the same fraction of its share.
+  double fill = static_cast<double>(needed) / static_cast<double>(available);
   std::vector<GroupPiece> plan;
   uint64_t placed = 0;
   for (size_t i = 0; i < members.size(); ++i) {
     const EngineView& engine = members[i];
-    bool last = i + 1 == members.size();
+    bool is_last = i + 1 == members.size();
     uint64_t share = ShareOf(engine, memory_share);
     auto part = static_cast<uint64_t>(fill * static_cast<double>(share)) + 1;
     part = std::min(part, share);
     uint64_t left = request.prompt_tokens - placed;
-    uint64_t prompt_part = last ? left : std::min(part, left);
+    uint64_t prompt_part = is_last ? left : std::min(part, left);
     GroupPiece piece;
     piece.engine = engine.ref;
     piece.prompt_tokens = prompt_part;
-    piece.memory_tokens = prompt_part + (last ? request.max_tokens : 0);
+    piece.memory_tokens = prompt_part + (is_last ? request.max_tokens : 0);
     piece.prefill_seconds = Seconds(engine.speed, placed, placed + prompt_part);
     placed += prompt_part;
     plan.push_back(piece);
--- a/src/routing/group_plan.h
+++ b/src/routing/group_plan.h
@@ -1,11 +1,11 @@
-// Splits a prompt that is larger than one engine's memory over several.
+// Splits a prompt that is larger than one engine's memory into pieces for several engines.
 //
-// The pieces are prefilled one after another, each with the KV cache of those
-// before it, and the last engine writes the answer.  The plan uses as few
-// engines as will do (every further engine is one more that can fail and one
-// more neighbour that is disturbed), and of those that fit the ones that are
-// free soonest.  Pieces go in the order of the engines' names: every entry
-// reserves in the same order, which keeps two groups from missing each other.
+// The pieces are prefilled one after another, each with the KV cache of the pieces before it, and
+// the last engine generates the answer.  The plan takes engines in the order in which they become
+// free, and only as many as the prompt needs: each further engine is one more that can fail, and
+// the requests on it are slowed down.  The pieces are ordered by the names of the engines, so
+// that all entries reserve in the same order and two groups do not each hold memory that the
+// other one needs.
 //
 //   std::vector<GroupPiece> plan = PlanGroup(request, candidates, 0.9);
 //   if (plan.empty()) ...     // all engines together are too small
@@ -20,27 +20,28 @@
 
 namespace gullward {
 
-// Pieces that a prompt may be split into.
+// Upper bound of the pieces of a prompt.
 inline constexpr size_t kMaxPieces = 16;
 
+// One piece of a prompt and the engine that holds it.
 struct GroupPiece {
   EngineRef engine;
   // Prompt tokens of this piece.
   uint64_t prompt_tokens = 0;
-  // Memory to be reserved: the last piece also holds the answer.
+  // Tokens of memory to be reserved.  The last piece includes the answer.
   uint64_t memory_tokens = 0;
   double prefill_seconds = 0;
 
   bool operator==(const GroupPiece&) const = default;
 };
 
-// Whether the prompt and its answer are too large for the share of every single
-// candidate that large prompts may hold.
+// Whether the prompt and its answer exceed the share `memory_share` of the memory of each single
+// candidate.
 bool NeedsGroup(const RoutingRequest& request, const std::vector<EngineView>& candidates,
                 double memory_share);
 
-// The pieces in order, or none where even all candidates together cannot hold
-// the prompt.  `memory_share` is the part of each engine that groups may hold.
+// Returns the pieces in order, or an empty plan if kMaxPieces candidates together cannot hold the
+// prompt and its answer.  `memory_share` is the share of each engine's memory that groups may use.
 std::vector<GroupPiece> PlanGroup(const RoutingRequest& request,
                                   const std::vector<EngineView>& candidates, double memory_share);
 
--- a/src/routing/policy.cc
+++ b/src/routing/policy.cc
@@ -1,4 +1,4 @@
-// policy.h tells the methods.
+// See policy.h for the policies.
 
 #include "routing/policy.h"
 
@@ -15,18 +15,19 @@
 namespace gullward {
 namespace {
 
-// Seconds that a prompt loses, on average, to the step under way when less urgent
-// prefill runs: half the time of one piece. It cannot be interrupted.
+// Average seconds that a prompt waits for the current step of an engine that runs prefill of lower
+// priority: half the time of one piece, because a step cannot be interrupted.
 constexpr double kStepSeconds = 0.05;
 
-// The same where a long prompt runs, whose pieces look back at many tokens.
-constexpr double kLongNeighbourSeconds = 0.15;
+// The same if the engine runs a long prompt, whose pieces attend to many earlier tokens.
+constexpr double kLongPromptStepSeconds = 0.15;
 
-// Seconds for each request in flight: breaks ties towards the emptier engine.
+// Added for each request in flight, so that of two equal engines the one with fewer requests is
+// chosen.
 constexpr double kOutstandingSeconds = 0.002;
 
-// Seconds charged where memory is not free now: the wait for it is not known,
-// so such an engine is taken only if all others are worse.
+// Added if the request does not fit into the free memory.  The wait for memory is unknown, so the
+// value is high enough that such an engine is chosen only if all others are worse.
 constexpr double kNoMemorySeconds = 2.0;
 
 Choice MakeChoice(const RoutingRequest& request, const EngineView& engine) {
@@ -35,7 +36,8 @@
   return {engine.ref, EstimateFirstToken(request, engine), prefill};
 }
 
-uint64_t HashOf(const std::string& model, const EngineRef& ref) {
+// Rendezvous hash of a model and an engine.
+uint64_t RendezvousHash(const std::string& model, const EngineRef& ref) {
   uint64_t hash = XXH3_64bits(model.data(), model.size());
   hash = XXH3_64bits_withSeed(ref.box.data(), ref.box.size(), hash);
   return XXH3_64bits_withSeed(&ref.engine, sizeof(ref.engine), hash);
@@ -43,7 +45,7 @@
 
 using Cost = std::function<double(const RoutingRequest& request, const EngineView& engine)>;
 
-// The candidate of the least cost; the first of equal ones.
+// Returns the candidate with the lowest cost, the first of equal ones; null if there are none.
 const EngineView* Cheapest(const RoutingRequest& request, const std::vector<EngineView>& candidates,
                            const Cost& cost) {
   const EngineView* best = nullptr;
@@ -87,7 +89,7 @@
 }
 
 double TrapezoidCost(const RoutingRequest& request, const EngineView& engine) {
-  // The backlog is known in seconds; a fixed speed turns it into pairs again.
+  // The backlog is reported in seconds; a fixed speed converts it to token pairs.
   constexpr double kPairsPerSecond = 1e10;
   double queued = 0;
   for (double part : engine.backlog_seconds) queued += part * kPairsPerSecond;
@@ -95,7 +97,7 @@
   return queued + TokenPairs(cached, request.prompt_tokens);
 }
 
-// Draws kSampleSize candidates; keeps every one with a cached prefix.
+// Returns all candidates with a cached prefix and kSampleSize random candidates.
 std::vector<EngineView> Sample(const std::vector<EngineView>& candidates, std::mt19937_64* random) {
   if (candidates.size() <= kSampleSize) return candidates;
   std::vector<EngineView> sample;
@@ -131,10 +133,10 @@
   double estimate = engine.WaitSeconds(request.priority);
   estimate += Seconds(engine.speed, cached, request.prompt_tokens);
   estimate += kOutstandingSeconds * engine.outstanding;
-  // Only one step is under way, however many prompts wait behind it.
+  // An engine runs only one step at a time, however many prompts wait for it.
   bool is_long = request.prompt_tokens >= request.long_tokens;
   if (!is_long && engine.long_running > 0) {
-    estimate += kLongNeighbourSeconds;
+    estimate += kLongPromptStepSeconds;
   } else if (!is_long && engine.HasLowerPriorityPrefill(request.priority)) {
     estimate += kStepSeconds;
   }
@@ -144,15 +146,15 @@
 
 std::vector<EngineView> EnginesForLongPrompts(const std::string& model,
                                               const std::vector<EngineView>& candidates,
-                                              double share, size_t at_least) {
+                                              double share, size_t min_count) {
   std::vector<std::pair<uint64_t, const EngineView*>> ranked;
   ranked.reserve(candidates.size());
   for (const EngineView& engine : candidates) {
-    ranked.emplace_back(HashOf(model, engine.ref), &engine);
+    ranked.emplace_back(RendezvousHash(model, engine.ref), &engine);
   }
   std::sort(ranked.begin(), ranked.end());
   auto wanted = static_cast<size_t>(std::ceil(share * static_cast<double>(ranked.size())));
-  size_t count = std::min(ranked.size(), std::max(wanted, at_least));
+  size_t count = std::min(ranked.size(), std::max(wanted, min_count));
   std::vector<EngineView> chosen;
   chosen.reserve(count);
   for (size_t i = 0; i < count; ++i) chosen.push_back(*ranked[i].second);
--- a/src/routing/testing/routing_test.cc
+++ b/src/routing/testing/routing_test.cc
@@ -1,4 +1,4 @@
-// Choices of endpoint, and plans for prompts larger than one engine.
+// Tests the routing policies and the plans for prompts larger than one engine's memory.
 
 #define BOOST_TEST_MODULE routing
 #include <boost/test/unit_test.hpp>
@@ -36,7 +36,7 @@
   return choice ? choice->engine.box : "none";
 }
 
-BOOST_AUTO_TEST_CASE(TheEstimateWeighsWaitCacheAndSpeed) {
+BOOST_AUTO_TEST_CASE(TheEstimateCountsBacklogCacheAndSpeed) {
   EngineView busy = Engine("busy", 3);
   EngineView idle = Engine("idle");
   EngineView cached = Engine("cached", 0.2);
@@ -62,7 +62,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LowerPriorityWorkDoesNotCount) {
+BOOST_AUTO_TEST_CASE(TheEstimateIgnoresBacklogOfLowerPriority) {
   EngineView low = Engine("low");
   low.backlog_seconds[5] = 100;
   EngineView high = Engine("high");
@@ -70,7 +70,7 @@
   BOOST_TEST(Chosen("estimate", Request(1000), {low, high}) == "low");
 }
 
-BOOST_AUTO_TEST_CASE(BaselinesDoWhatTheirNamesSay) {
+BOOST_AUTO_TEST_CASE(BaselinePoliciesChooseAsNamed) {
   EngineView a = Engine("a");
   EngineView b = Engine("b");
   a.outstanding = 2;
@@ -84,7 +84,7 @@
   BOOST_TEST(Chosen("trapezoid", Request(1000), {Engine("busy", 1), Engine("idle")}) == "idle");
 }
 
-BOOST_AUTO_TEST_CASE(LongPromptsKeepToTheirShare) {
+BOOST_AUTO_TEST_CASE(LongPromptsUseOnlyTheirShareOfEngines) {
   std::vector<EngineView> engines;
   for (int i = 0; i < 10; ++i) engines.push_back(Engine("box-" + std::to_string(i)));
   RoutingRequest request = Request(50'000);
@@ -97,7 +97,7 @@
   BOOST_TEST(used.size() == 3u);
 }
 
-BOOST_AUTO_TEST_CASE(BoxesThatAreGoneAreForgotten) {
+BOOST_AUTO_TEST_CASE(DisconnectedBoxesAreRemoved) {
   FleetView fleet(1);
   Time start{std::chrono::hours(1)};
   fleet.OnHeartbeat("gone", {}, start);
@@ -109,7 +109,9 @@
   BOOST_TEST(fleet.Describe(start).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(GroupsHoldTheWholePromptInFewPieces) {
+// For many prompt sizes: the pieces cover the whole prompt, use each engine once, fit into the
+// engines' shares and are few.
+BOOST_AUTO_TEST_CASE(GroupPlansCoverThePromptWithFewPieces) {
   for (uint64_t tokens = 60'000; tokens <= 450'000; tokens += 1'234) {
     std::vector<EngineView> engines;
     for (int i = 0; i < 6; ++i) {
@@ -120,9 +122,9 @@
     RoutingRequest request = Request(tokens);
     if (!NeedsGroup(request, engines, 0.9)) continue;
     std::vector<GroupPiece> plan = PlanGroup(request, engines, 0.9);
-    uint64_t room = 0;
-    for (const EngineView& engine : engines) room += engine.total_tokens * 9 / 10;
-    if (tokens + request.max_tokens > room) {
+    uint64_t capacity = 0;
+    for (const EngineView& engine : engines) capacity += engine.total_tokens * 9 / 10;
+    if (tokens + request.max_tokens > capacity) {
       BOOST_TEST(plan.empty());
       continue;
     }
