--- a/src/claims/claim_table.cc
+++ b/src/claims/claim_table.cc
@@ -1,4 +1,4 @@
-// claim_table.h tells the rules.
+// See claim_table.h for the rules.
 
 #include "claims/claim_table.h"
 
@@ -14,8 +14,8 @@
   for (const ClaimRecord& record : batch.records) {
     auto found = this->holders.find(record.key_hash);
     if (record.kind == ClaimKind::kRelease) {
-      bool own = found != this->holders.end() && found->second.request == record.request;
-      if (own) this->holders.erase(found);
+      bool is_holder = found != this->holders.end() && found->second.request == record.request;
+      if (is_holder) this->holders.erase(found);
       continue;
     }
     if (found != this->holders.end()) continue;
@@ -32,16 +32,17 @@
 }
 
 void ClaimTable::Expire(Time now) {
-  while (!this->order.empty() && now - this->order.front().first >= this->options.memory) {
-    auto [seen, key_hash] = this->order.front();
+  while (!this->order.empty() && now - this->order.front().first >= this->options.retention) {
+    auto [read_at, key_hash] = this->order.front();
     this->order.pop_front();
     auto found = this->holders.find(key_hash);
-    // A key given back and claimed again has a later place in the order.
-    if (found != this->holders.end() && found->second.seen == seen) this->holders.erase(found);
+    // If the key was released and claimed again, a later element of `order` stands for it.
+    if (found != this->holders.end() && found->second.read_at == read_at)
+      this->holders.erase(found);
   }
   for (auto it = this->last_batch.begin(); it != this->last_batch.end();) {
-    bool old = now - it->second.second >= this->options.memory;
-    it = old ? this->last_batch.erase(it) : std::next(it);
+    bool is_expired = now - it->second.second >= this->options.retention;
+    it = is_expired ? this->last_batch.erase(it) : std::next(it);
   }
 }
 
--- a/src/claims/claim_table.h
+++ b/src/claims/claim_table.h
@@ -1,19 +1,18 @@
-// Which request holds which idempotency key, as the log has it.
+// Records which request holds which idempotency key, according to the log.
 //
-// Every entry replays the same stream of claims.  The claim at the lowest offset
-// holds the key; later claims of it are lost, until its holder gives it back
-// (which it does only when it is certain that nothing was run).  Any number of
-// entries may race: they all read the same order.
+// All entries replay the same stream of claims.  The request whose claim has the lowest offset
+// holds the key, and later claims of the key fail until the holder releases it.  A holder releases
+// its key only if it is certain that the request was not run.  Any number of entries may claim a
+// key at the same time, because all of them read the claims in the same order.
 //
 //   ClaimTable table(options);
 //   table.Apply(batch, now);
 //   std::optional<RequestId> holder = table.Holder(key_hash, now);
 //
-// A key is remembered for `memory` after this process first read its claim.
-// That is shorter than the log's retention, so a process that starts now reads
-// every claim that still counts.  Memory is bounded by max_keys; once that many
-// are held, IsFull() is true and new keyed requests have to be refused, since a
-// key that is forgotten too early could be run twice.
+// A key is kept for `retention` after this process first read its claim.  `retention` is shorter
+// than the retention of the log, so a process that starts now still reads every claim that is in
+// force.  max_keys bounds the memory.  Once that many keys are held, IsFull() returns true and new
+// requests with a key must be refused: if a key were dropped early, its request could run twice.
 
 #ifndef GULLWARD_CLAIMS_CLAIM_TABLE_H_
 #define GULLWARD_CLAIMS_CLAIM_TABLE_H_
@@ -31,7 +30,8 @@
 namespace gullward {
 
 struct ClaimTableOptions {
-  Duration memory = std::chrono::hours(1);
+  // How long a key is kept after its claim was first read.
+  Duration retention = std::chrono::hours(1);
   size_t max_keys = 1'000'000;
 };
 
@@ -39,14 +39,14 @@
  public:
   explicit ClaimTable(const ClaimTableOptions& options);
 
-  // Applies a batch, in log order.  A batch of a writer that was applied before
-  // (an append repeated after its answer was lost) changes nothing.
+  // Applies the next batch of the log.  A batch that was applied before changes nothing; the log
+  // holds a batch twice if its writer repeated an append whose answer was lost.
   void Apply(const ClaimBatch& batch, Time now);
 
-  // Whose the key is, if anybody's.
+  // Returns the request that holds the key, if any.
   std::optional<RequestId> Holder(uint64_t key_hash, Time now);
 
-  // Whether no further key can be remembered.
+  // Whether max_keys keys are held.
   bool IsFull() const { return this->holders.size() >= this->options.max_keys; }
 
   size_t size() const { return this->holders.size(); }
@@ -54,16 +54,19 @@
  private:
   struct Entry {
     RequestId request;
-    Time seen;
+    // When the claim was first read.
+    Time read_at;
   };
 
+  // Removes keys and batch numbers that are `retention` old.
   void Expire(Time now);
 
   ClaimTableOptions options;
   std::unordered_map<uint64_t, Entry> holders;
-  // Keys in the order in which they were first seen, for expiry.
+  // Keys with the time at which their claims were first read, oldest first, for expiry.
   std::deque<std::pair<Time, uint64_t>> order;
-  // The last batch applied of each writer, with when; expires like the keys.
+  // For each writer, the sequence number of the last batch and when it was applied.  Entries
+  // expire like the keys.
   std::map<uint64_t, std::pair<uint64_t, Time>> last_batch;
 };
 
--- a/src/claims/claimer.cc
+++ b/src/claims/claimer.cc
@@ -1,4 +1,4 @@
-// claimer.h tells the method.
+// See claimer.h for how claims are appended and read back.
 
 #include "claims/claimer.h"
 
@@ -15,8 +15,8 @@
     this->outcomes.push_back({request, ClaimOutcome::Kind::kLost, *holder});
     return;
   }
-  bool full = this->pending.size() >= this->options.max_waiting || this->table.IsFull();
-  if (full) {
+  bool is_full = this->pending.size() >= this->options.max_waiting || this->table.IsFull();
+  if (is_full) {
     this->outcomes.push_back({request, ClaimOutcome::Kind::kUnavailable, {}});
     return;
   }
@@ -33,33 +33,33 @@
 void Claimer::OnRecord(const ClaimBatch& batch, Time now) {
   this->table.Apply(batch, now);
   if (batch.id.writer != this->options.writer) return;
-  bool awaited = this->under_way && this->under_way->id == batch.id;
-  if (!awaited) return;
-  ClaimBatch own = *std::exchange(this->under_way, std::nullopt);
-  this->Settle(own, now);
+  bool is_awaited = this->pending_batch && this->pending_batch->id == batch.id;
+  if (!is_awaited) return;
+  ClaimBatch own = *std::exchange(this->pending_batch, std::nullopt);
+  this->ResolveClaims(own, now);
 }
 
-void Claimer::Settle(const ClaimBatch& own, Time now) {
+void Claimer::ResolveClaims(const ClaimBatch& own, Time now) {
   for (const ClaimRecord& record : own.records) {
     if (record.kind != ClaimKind::kClaim) continue;
     std::optional<RequestId> holder = this->table.Holder(record.key_hash, now);
-    bool won = holder == record.request;
+    bool has_won = holder == record.request;
     auto found = this->pending.find(record.request);
     if (found == this->pending.end()) {
-      // Given up meanwhile: nobody will run it, so the key is free again.
-      if (won) this->Release(record.key_hash, record.request);
+      // The claim has expired or was abandoned.  Its request is never run, so the key is released.
+      if (has_won) this->Release(record.key_hash, record.request);
       continue;
     }
     this->pending.erase(found);
-    auto kind = won ? ClaimOutcome::Kind::kWon : ClaimOutcome::Kind::kLost;
+    auto kind = has_won ? ClaimOutcome::Kind::kWon : ClaimOutcome::Kind::kLost;
     this->outcomes.push_back(
-        {record.request, kind, won ? RequestId{} : holder.value_or(RequestId{})});
+        {record.request, kind, has_won ? RequestId{} : holder.value_or(RequestId{})});
   }
 }
 
-void Claimer::GiveUpLate(Time now) {
+void Claimer::ExpireClaims(Time now) {
   for (auto it = this->pending.begin(); it != this->pending.end();) {
-    if (now - it->second.since < this->options.patience) {
+    if (now - it->second.since < this->options.timeout) {
       ++it;
       continue;
     }
@@ -69,25 +69,25 @@
 }
 
 std::optional<ClaimBatch> Claimer::Tick(Time now) {
-  this->GiveUpLate(now);
-  if (this->under_way) {
-    if (now - this->appended_at < this->options.retry) return std::nullopt;
+  this->ExpireClaims(now);
+  if (this->pending_batch) {
+    if (now - this->appended_at < this->options.retry_period) return std::nullopt;
     this->appended_at = now;
-    return this->under_way;
+    return this->pending_batch;
   }
-  bool too_soon = now - this->appended_at < this->options.append_period;
-  if (this->queue.empty() || too_soon) return std::nullopt;
+  bool is_too_soon = now - this->appended_at < this->options.append_period;
+  if (this->queue.empty() || is_too_soon) return std::nullopt;
   ClaimBatch batch;
   batch.id = {this->options.writer, this->next_sequence++};
   while (!this->queue.empty() && batch.records.size() < this->options.max_batch) {
     ClaimRecord record = this->queue.front();
     this->queue.pop_front();
-    // A claim given up before it was appended need not be made at all.
-    bool dropped = record.kind == ClaimKind::kClaim && this->pending.count(record.request) == 0;
-    if (!dropped) batch.records.push_back(record);
+    // A claim that has expired or was abandoned before its append is not appended.
+    bool is_dropped = record.kind == ClaimKind::kClaim && this->pending.count(record.request) == 0;
+    if (!is_dropped) batch.records.push_back(record);
   }
   if (batch.records.empty()) return std::nullopt;
-  this->under_way = batch;
+  this->pending_batch = batch;
   this->appended_at = now;
   return batch;
 }
--- a/src/claims/claimer.h
+++ b/src/claims/claimer.h
@@ -1,23 +1,22 @@
-// Claims idempotency keys for one entry, through the platform's log.
+// Claims idempotency keys for the requests of one entry in the platform's log.
 //
-// A keyed request may start only once its claim has been read back from the log
-// as the first one.  Whether an append's own answer arrived does not matter: an
-// append can take effect although its answer is lost, so the only proof is the
-// record itself, read forward in order like every other record.
+// A request with a key may start only after its claim has been read back from the log as the first
+// claim of the key.  The answer to the append is not used: an append can take effect although its
+// answer is lost, so only the record itself, read in log order, shows the result.
 //
 //   claimer.Claim(key_hash, request, now);
-//   ...  AppendClaims action -> append to the log, whatever it answers
-//   ...  OnRecord(batch, now) for each record read from the claims stream
+//   std::optional<ClaimBatch> batch = claimer.Tick(now);   // append it, ignore the answer
+//   claimer.OnRecord(record, now);       // for each record read from the claims stream
 //   for (const ClaimOutcome& outcome : claimer.TakeOutcomes()) ...
 //
-// The log takes about a hundred appends a second in all, so one process has at
-// most one append under way and puts every claim that waits into the next one.
-// An append that has not been read back after `retry` is made again with the
-// same sequence number; readers ignore the second copy.
+// The log accepts about 100 appends per second from all writers together, so a process has at most
+// one pending append and puts all waiting claims into the next one.  If an append has not been
+// read back after `retry_period`, it is repeated with the same sequence number; readers ignore the
+// second copy.
 //
-// A claim that is not settled within its patience is given up as kUnavailable:
-// the request was not run.  Its record may still turn up; the key is then given
-// back with a release record, so that the caller can use it again.
+// A claim without an outcome after `timeout` ends as kUnavailable, and its request is not run.
+// If the record of the claim is read later and holds the key, a release record frees the key, so
+// that the caller can use it again.
 
 #ifndef GULLWARD_CLAIMS_CLAIMER_H_
 #define GULLWARD_CLAIMS_CLAIMER_H_
@@ -35,26 +34,28 @@
 namespace gullward {
 
 struct ClaimerOptions {
+  // Identifies this process in the log.
   uint64_t writer = 0;
-  // Between two appends of one process.
+  // Minimum time between two appends of this process.
   Duration append_period = milliseconds(100);
-  // After which an append that was not read back is made again.
-  Duration retry = seconds(2);
-  // After which a claim is given up.
-  Duration patience = seconds(5);
+  // Time after which an append that was not read back is repeated.
+  Duration retry_period = seconds(2);
+  // Time after which a claim without an outcome ends as kUnavailable.
+  Duration timeout = seconds(5);
+  // Records in one append.
   size_t max_batch = 512;
-  // Claims that may wait; more are refused at once.
+  // Claims without an outcome; further claims are refused at once.
   size_t max_waiting = 10'000;
   ClaimTableOptions table;
 };
 
-// What became of a claim.
+// The result of a claim.
 struct ClaimOutcome {
   enum class Kind { kWon, kLost, kUnavailable };
 
   RequestId request;
   Kind kind = Kind::kUnavailable;
-  // The request that holds the key, where the claim was lost.
+  // The request that holds the key, if the claim was lost.
   RequestId holder;
 
   bool operator==(const ClaimOutcome&) const = default;
@@ -64,21 +65,22 @@
  public:
   explicit Claimer(const ClaimerOptions& options);
 
-  // Begins to claim a key; an outcome follows, maybe at once.
+  // Starts to claim a key.  The outcome follows, possibly before this returns.
   void Claim(uint64_t key_hash, const RequestId& request, Time now);
 
-  // Gives a key back: its request was certainly not run.
+  // Releases a key.  To be called only if its request was certainly not run.
   void Release(uint64_t key_hash, const RequestId& request);
 
-  // Drops a claim whose caller has gone; the key is given back if it was won.
+  // Drops a claim whose caller has disconnected.  If the claim is won later, the key is released.
   void Abandon(const RequestId& request);
 
-  // Takes a record of the claims stream, own or another's, in order.
+  // Applies the next record of the claims stream, of any writer.
   void OnRecord(const ClaimBatch& batch, Time now);
 
-  // Patience, retries.  Returns the batch to be appended now, if any.
+  // Handles timeouts and retries.  Returns the batch to be appended now, if any.
   std::optional<ClaimBatch> Tick(Time now);
 
+  // Returns the outcomes since the last call.
   std::vector<ClaimOutcome> TakeOutcomes();
 
   size_t waiting() const { return this->pending.size(); }
@@ -90,17 +92,19 @@
     Time since;
   };
 
-  void Settle(const ClaimBatch& own, Time now);
-  void GiveUpLate(Time now);
+  // Produces the outcomes of the claims in an own batch that was read back.
+  void ResolveClaims(const ClaimBatch& own, Time now);
+  // Ends the claims that have exceeded `timeout`.
+  void ExpireClaims(Time now);
 
   ClaimerOptions options;
   ClaimTable table;
   // Claims without an outcome.
   std::map<RequestId, Pending> pending;
-  // Records that no append has taken yet.
+  // Records that no batch contains yet.
   std::deque<ClaimRecord> queue;
-  // The batch under way, until it has been read back.
-  std::optional<ClaimBatch> under_way;
+  // The last batch, until it has been read back.
+  std::optional<ClaimBatch> pending_batch;
   Time appended_at;
   uint64_t next_sequence = 1;
   std::vector<ClaimOutcome> outcomes;
--- a/src/claims/testing/claimer_test.cc
+++ b/src/claims/testing/claimer_test.cc
@@ -1,4 +1,4 @@
-// Keys are claimed once, whatever the log does with appends and answers.
+// Tests that each key is won by one request only, even if the log loses, delays or repeats appends.
 
 #define BOOST_TEST_MODULE claimer
 #include "claims/claimer.h"
@@ -21,14 +21,14 @@
 
 constexpr Time kStart{std::chrono::seconds(100)};
 
-BOOST_AUTO_TEST_CASE(AClaimReadBackFirstWins) {
+BOOST_AUTO_TEST_CASE(TheFirstClaimInTheLogWins) {
   Claimer one(Options(1));
   Claimer two(Options(2));
   one.Claim(7, Request(1, 1), kStart);
   two.Claim(7, Request(2, 1), kStart);
   ClaimBatch a = *one.Tick(kStart);
   ClaimBatch b = *two.Tick(kStart);
-  // The log has two's record first; both read both.
+  // The log holds the record of `two` first.  Both claimers read both records.
   for (Claimer* claimer : {&one, &two}) {
     claimer->OnRecord(b, kStart);
     claimer->OnRecord(a, kStart);
@@ -38,7 +38,7 @@
   BOOST_TEST((two.TakeOutcomes() == std::vector<ClaimOutcome>{{Request(2, 1), Kind::kWon, {}}}));
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsWonBeforeItIsReadBack) {
+BOOST_AUTO_TEST_CASE(AClaimHasNoOutcomeBeforeItIsReadBack) {
   Claimer claimer(Options(1));
   claimer.Claim(7, Request(1, 1), kStart);
   BOOST_REQUIRE(claimer.Tick(kStart).has_value());
@@ -46,11 +46,11 @@
   BOOST_TEST(claimer.TakeOutcomes().empty());
 }
 
-BOOST_AUTO_TEST_CASE(ALostAnswerIsSettledByReading) {
+BOOST_AUTO_TEST_CASE(ARepeatedAppendIsAppliedOnce) {
   Claimer claimer(Options(1));
   claimer.Claim(7, Request(1, 1), kStart);
   ClaimBatch first = *claimer.Tick(kStart);
-  // Not read back in time: appended again under the same number.
+  // The append was not read back in time and is repeated with the same sequence number.
   ClaimBatch again = *claimer.Tick(kStart + seconds(2));
   BOOST_TEST((first == again));
   claimer.OnRecord(first, kStart + seconds(3));
@@ -60,7 +60,7 @@
   BOOST_TEST(claimer.keys() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(AClaimGivenUpIsGivenBackWhenItTurnsUp) {
+BOOST_AUTO_TEST_CASE(AnExpiredClaimIsReleasedWhenItIsRead) {
   Claimer claimer(Options(1));
   claimer.Claim(7, Request(1, 1), kStart);
   ClaimBatch late = *claimer.Tick(kStart);
@@ -72,21 +72,21 @@
   ClaimBatch release = *claimer.Tick(kStart + seconds(7));
   claimer.OnRecord(release, kStart + seconds(7));
   BOOST_TEST(claimer.keys() == 0u);
-  // The caller may use its key again, and wins.
+  // The next request with the key wins it.
   claimer.Claim(7, Request(1, 2), kStart + seconds(8));
   claimer.OnRecord(*claimer.Tick(kStart + seconds(8)), kStart + seconds(8));
   BOOST_TEST(
       (claimer.TakeOutcomes() == std::vector<ClaimOutcome>{{Request(1, 2), Kind::kWon, {}}}));
 }
 
-BOOST_AUTO_TEST_CASE(AKeyIsForgottenAfterItsTime) {
+BOOST_AUTO_TEST_CASE(AKeyExpiresAfterItsRetention) {
   ClaimTable table(ClaimTableOptions{seconds(10), 100});
   table.Apply({{1, 1}, {{ClaimKind::kClaim, 7, Request(1, 1)}}}, kStart);
   BOOST_TEST(table.Holder(7, kStart + seconds(9)).has_value());
   BOOST_TEST(!table.Holder(7, kStart + seconds(10)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(OnlyTheHolderGivesAKeyBack) {
+BOOST_AUTO_TEST_CASE(OnlyTheHolderReleasesAKey) {
   ClaimTable table(ClaimTableOptions{});
   table.Apply({{1, 1}, {{ClaimKind::kClaim, 7, Request(1, 1)}}}, kStart);
   table.Apply({{2, 1}, {{ClaimKind::kRelease, 7, Request(2, 5)}}}, kStart);
@@ -95,7 +95,7 @@
   BOOST_TEST(!table.Holder(7, kStart).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AFullTableRefusesRatherThanForgets) {
+BOOST_AUTO_TEST_CASE(AFullTableRefusesNewClaims) {
   ClaimerOptions options = Options(1);
   options.table.max_keys = 2;
   Claimer claimer(options);
@@ -107,8 +107,8 @@
               std::vector<ClaimOutcome>{{Request(1, 1), Kind::kUnavailable, {}}}));
 }
 
-// Three claimers, few keys, a log that loses appends, answers late and holds some
-// records twice: at any time at most one request has won a key.
+// Three claimers race for four keys through a log that loses, delays and repeats appends.  No key
+// may be won by more than one request.
 BOOST_AUTO_TEST_CASE(NoKeyIsWonTwiceInRandomRaces) {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
@@ -129,9 +129,9 @@
         claimers[w].Claim(key, request, now);
       }
       if (auto batch = claimers[w].Tick(now)) {
-        uint64_t fate = random() % 4;
-        if (fate == 0) delayed.push_back(*batch);
-        if (fate >= 2) log.push_back(*batch);
+        uint64_t outcome_of_append = random() % 4;
+        if (outcome_of_append == 0) delayed.push_back(*batch);
+        if (outcome_of_append >= 2) log.push_back(*batch);
       }
       if (random() % 3 == 0 && !delayed.empty()) {
         log.push_back(delayed.back());
--- a/src/routing/policy.cc
+++ b/src/routing/policy.cc
@@ -97,7 +97,8 @@
   return queued + TokenPairs(cached, request.prompt_tokens);
 }
 
-// Returns all candidates with a cached prefix and kSampleSize random candidates.
+// Returns all candidates with a cached prefix and kSampleSize random candidates; all candidates if
+// there are no more than kSampleSize.
 std::vector<EngineView> Sample(const std::vector<EngineView>& candidates, std::mt19937_64* random) {
   if (candidates.size() <= kSampleSize) return candidates;
   std::vector<EngineView> sample;
