--- a/src/config/config_feed.cc
+++ b/src/config/config_feed.cc
@@ -1,4 +1,4 @@
-// config_feed.h tells the method.
+// See config_feed.h for how gaps are closed by snapshots.
 
 #include "config/config_feed.h"
 
@@ -14,19 +14,19 @@
 void ConfigFeed::ApplyLogRecords(int64_t earliest, const std::vector<OffsetRecord>& records) {
   for (const OffsetRecord& record : records) {
     if (record.offset <= this->config.offset()) continue;
-    bool gap = record.offset > this->config.offset() + 1;
-    // Offset 0 has no predecessor that could be missing.
-    if (!gap) {
+    bool has_gap = record.offset > this->config.offset() + 1;
+    // No gap is possible before offset 0, since the offset of an empty state is -1.
+    if (!has_gap) {
       this->ApplyRecord(record);
       continue;
     }
     this->BufferRecord(record);
     LogRecord decoded = DecodeRecord(record.body);
     const auto* snapshot = std::get_if<ConfigSnapshot>(&decoded);
-    // Everything after the snapshot's prefix must be at hand in the buffer.
-    bool bridges = snapshot != nullptr && snapshot->offset + 1 >= earliest &&
-                   snapshot->offset + 1 >= this->buffered.front().offset;
-    if (!bridges || !this->config.Load(*snapshot)) continue;
+    // All records that the snapshot does not cover must be in the buffer.
+    bool closes_gap = snapshot != nullptr && snapshot->offset + 1 >= earliest &&
+                      snapshot->offset + 1 >= this->buffered.front().offset;
+    if (!closes_gap || !this->config.Load(*snapshot)) continue;
     this->newest_snapshot = std::max(this->newest_snapshot, snapshot->offset);
     this->recent.clear();
     this->ReplayBuffer();
@@ -38,7 +38,8 @@
     LogRecord decoded = DecodeRecord(record.body);
     const auto* snapshot = std::get_if<ConfigSnapshot>(&decoded);
     if (snapshot != nullptr && snapshot->offset == record.offset) {
-      // A peer's own snapshot stands at its prefix's end: it is no log record.
+      // A snapshot made by the peer has the offset of the last record that it covers.  It is not a
+      // record of the log, so it is loaded and not applied.
       if (this->config.Load(*snapshot)) this->recent.clear();
       continue;
     }
@@ -48,9 +49,9 @@
 }
 
 void ConfigFeed::ReplayBuffer() {
-  bool bridged =
+  bool is_consecutive =
       !this->buffered.empty() && this->buffered.front().offset <= this->config.offset() + 1;
-  if (!bridged) return;
+  if (!is_consecutive) return;
   std::vector<OffsetRecord> replay = std::move(this->buffered);
   this->buffered.clear();
   for (const OffsetRecord& record : replay) this->ApplyRecord(record);
@@ -70,17 +71,17 @@
 
 void ConfigFeed::BufferRecord(const OffsetRecord& record) {
   if (!this->buffered.empty() && record.offset <= this->buffered.back().offset) return;
-  bool consecutive = this->buffered.empty() || record.offset == this->buffered.back().offset + 1;
-  // The log was trimmed again while we read: start over from here.
-  if (!consecutive) this->buffered.clear();
+  bool is_consecutive = this->buffered.empty() || record.offset == this->buffered.back().offset + 1;
+  // The log was trimmed again during the read: start over from this record.
+  if (!is_consecutive) this->buffered.clear();
   this->buffered.push_back(record);
 }
 
 ConfigRecords ConfigFeed::RecordsAfter(int64_t after) const {
   ConfigRecords answer;
   if (after >= this->config.offset()) return answer;
-  bool kept = !this->recent.empty() && this->recent.front().offset <= after + 1;
-  if (!kept) {
+  bool is_kept = !this->recent.empty() && this->recent.front().offset <= after + 1;
+  if (!is_kept) {
     ConfigSnapshot snapshot = this->config.Snapshot();
     answer.records.push_back({snapshot.offset, EncodeRecord(snapshot)});
     return answer;
@@ -97,16 +98,16 @@
 }
 
 void ConfigFeed::ObserveOffset(int64_t offset, Time now) {
-  if (offset <= this->heard) return;
-  bool was_behind = this->config.offset() < this->heard;
-  this->heard = offset;
+  if (offset <= this->known_offset) return;
+  bool was_behind = this->config.offset() < this->known_offset;
+  this->known_offset = offset;
   if (!was_behind) this->behind_since = now;
 }
 
-bool ConfigFeed::IsReady(Time now, Duration patience) const {
+bool ConfigFeed::IsReady(Time now, Duration max_lag) const {
   if (this->config.size() == 0) return false;
-  if (this->config.offset() >= this->heard) return true;
-  return now - this->behind_since < patience;
+  if (this->config.offset() >= this->known_offset) return true;
+  return now - this->behind_since < max_lag;
 }
 
 bool ConfigFeed::IsSnapshotDue(int64_t max_records) const {
--- a/src/config/config_file.cc
+++ b/src/config/config_file.cc
@@ -1,4 +1,4 @@
-// config_file.h tells the format.
+// See config_file.h for the format.
 
 #include "config/config_file.h"
 
@@ -11,13 +11,13 @@
 
 constexpr int64_t kMaxOffset = INT64_MAX;
 
-// One object's keys as TOML text in a fixed order, so that equal objects have
-// equal bodies.
-std::string BodyOf(const toml::table& table) {
+// Returns an object's keys, without its name, as TOML text.  The order of the keys is fixed, so
+// that equal objects have equal bodies.
+std::string FormatBody(const toml::table& table) {
   toml::table copy = table;
   copy.erase("name");
   std::ostringstream text;
-  // toml++ keeps keys sorted; a nested table comes out as [labels].
+  // toml++ keeps keys sorted and writes a nested table as a section, such as [labels].
   text << toml::toml_formatter(copy);
   return text.str();
 }
@@ -30,8 +30,9 @@
     TomlReader reader(*table, file, prefix, errors);
     std::string name = reader.String("name", std::nullopt);
     ParseObject(kind, *table, file, prefix, errors);
-    bool added = result->written.emplace(ObjectName{kind, name}, BodyOf(*table)).second;
-    if (!added) reader.Error("name", "the " + kind + " \"" + name + "\" stands twice in this file");
+    bool is_new = result->written.emplace(ObjectName{kind, name}, FormatBody(*table)).second;
+    if (!is_new)
+      reader.Error("name", "the " + kind + " \"" + name + "\" occurs twice in this file");
   }
 }
 
@@ -43,8 +44,8 @@
     std::string prefix = "delete[" + std::to_string(index++) + "].";
     TomlReader reader(*table, file, prefix, errors);
     ObjectName id{reader.String("kind", std::nullopt), reader.String("name", std::nullopt)};
-    bool known = std::find(kinds.begin(), kinds.end(), id.kind) != kinds.end();
-    if (!known && !id.kind.empty()) reader.Error("kind", "unknown kind \"" + id.kind + "\"");
+    bool is_known = std::find(kinds.begin(), kinds.end(), id.kind) != kinds.end();
+    if (!is_known && !id.kind.empty()) reader.Error("kind", "unknown kind \"" + id.kind + "\"");
     if (result->written.count(id) > 0) reader.Error("name", "is both written and deleted here");
     reader.Finish();
     result->deleted.push_back(id);
@@ -74,8 +75,8 @@
   auto based_on = [&](const ObjectName& name) -> int64_t {
     const ConfigObject* current = state.Find(name);
     if (current == nullptr) return -1;
-    // A version newer than the file's base makes the change lose: naming the
-    // base itself, which no longer is the object's version, does that.
+    // If the object was written after the file's base, the change must be rejected.  The base is
+    // not the object's current version, so naming it causes the rejection.
     if (file.based_on >= 0 && current->version > file.based_on) return file.based_on;
     return current->version;
   };
@@ -113,9 +114,9 @@
 std::string DescribeChange(const ConfigChange& change) {
   std::ostringstream text;
   for (const ObjectChange& object : change.objects) {
-    char mark = object.based_on < 0 ? '+' : '~';
-    if (object.deleted) mark = '-';
-    text << mark << " " << object.kind << " " << object.name << "\n";
+    char symbol = object.based_on < 0 ? '+' : '~';
+    if (object.deleted) symbol = '-';
+    text << symbol << " " << object.kind << " " << object.name << "\n";
   }
   return text.str();
 }
--- a/src/config/config_state.cc
+++ b/src/config/config_state.cc
@@ -1,4 +1,4 @@
-// Replay of the configuration stream; config_state.h tells the rules.
+// See config_state.h for the rules.
 
 #include "config/config_state.h"
 
@@ -8,8 +8,8 @@
 namespace gullward {
 namespace {
 
-// Where a mistake in a record is reported: there is no file.
-constexpr char kLogPlace[] = "log";
+// Stands for the file name in errors of records, which come from no file.
+constexpr char kLogSource[] = "log";
 
 ApplyResult Rejected(ResultCode code, std::vector<ConfigError> errors = {}) {
   ApplyResult result;
@@ -23,10 +23,11 @@
 std::shared_ptr<const ConfigObject> ParseStoredObject(const ObjectName& id, int64_t version,
                                                       const std::string& body,
                                                       std::vector<ConfigError>* errors) {
-  std::optional<toml::table> table = ParseToml(body, kLogPlace, errors);
+  std::optional<toml::table> table = ParseToml(body, kLogSource, errors);
   if (!table) return nullptr;
   size_t errors_before = errors->size();
-  ObjectSpec spec = ParseObject(id.kind, *table, kLogPlace, id.kind + " " + id.name + ": ", errors);
+  ObjectSpec spec =
+      ParseObject(id.kind, *table, kLogSource, id.kind + " " + id.name + ": ", errors);
   if (errors->size() > errors_before) return nullptr;
   return std::make_shared<const ConfigObject>(ConfigObject{id, version, body, std::move(spec)});
 }
@@ -76,7 +77,7 @@
   std::set<ObjectName> seen;
   for (const ObjectChange& object : change.objects) {
     ObjectName id{object.kind, object.name};
-    // Two changes of one object in one record contradict each other.
+    // One record cannot change an object twice.
     if (!seen.insert(id).second) return true;
     const ConfigObject* current = this->Find(id);
     int64_t version = current == nullptr ? -1 : current->version;
@@ -92,26 +93,26 @@
     if (changed != changes.end()) return changed->second != nullptr;
     return this->Find(id) != nullptr;
   };
-  // Differences that this change makes to the counts of deleted objects.
-  std::map<ObjectName, int64_t> left;
+  // By how much this change alters the number of references to each object.
+  std::map<ObjectName, int64_t> differences;
   for (const auto& [id, replacement] : changes) {
     if (const ConfigObject* old = this->Find(id)) {
-      for (const ObjectName& named : References(old->spec)) --left[named];
+      for (const ObjectName& referenced : References(old->spec)) --differences[referenced];
     }
     if (replacement == nullptr) continue;
-    for (const ObjectName& named : References(replacement->spec)) {
-      ++left[named];
-      if (exists(named)) continue;
-      errors->push_back(
-          {kLogPlace, 0, id.kind + " " + id.name,
-           "names the " + named.kind + " \"" + named.name + "\", which does not exist"});
+    for (const ObjectName& referenced : References(replacement->spec)) {
+      ++differences[referenced];
+      if (exists(referenced)) continue;
+      errors->push_back({kLogSource, 0, id.kind + " " + id.name,
+                         "refers to the " + referenced.kind + " \"" + referenced.name +
+                             "\", which does not exist"});
     }
     const auto* account = std::get_if<AccountSpec>(&replacement->spec);
     const ConfigObject* holder =
         account == nullptr ? nullptr : this->AccountOfKey(account->key_sha256);
-    bool key_taken = holder != nullptr && holder->id != id && changes.count(holder->id) == 0;
-    if (key_taken) {
-      errors->push_back({kLogPlace, 0, id.kind + " " + id.name,
+    bool is_key_taken = holder != nullptr && holder->id != id && changes.count(holder->id) == 0;
+    if (is_key_taken) {
+      errors->push_back({kLogSource, 0, id.kind + " " + id.name,
                          "has the key of the account \"" + holder->id.name + "\""});
     }
   }
@@ -119,11 +120,11 @@
     if (replacement != nullptr) continue;
     auto counted = this->reference_counts.find(id);
     int64_t count = counted == this->reference_counts.end() ? 0 : counted->second;
-    auto difference = left.find(id);
-    if (difference != left.end()) count += difference->second;
+    auto difference = differences.find(id);
+    if (difference != differences.end()) count += difference->second;
     if (count <= 0) continue;
     errors->push_back(
-        {kLogPlace, 0, id.kind + " " + id.name, "cannot be deleted: other objects name it"});
+        {kLogSource, 0, id.kind + " " + id.name, "cannot be deleted: other objects refer to it"});
   }
 }
 
@@ -155,7 +156,7 @@
     this->CountReferences(*found->second, -1);
     if (const auto* account = std::get_if<AccountSpec>(&found->second->spec)) {
       auto indexed = this->accounts_by_key.find(account->key_sha256);
-      // Two accounts may swap keys in one change: erase only one's own entry.
+      // Two accounts may swap keys in one change, so only the account's own entry is erased.
       if (indexed != this->accounts_by_key.end() && indexed->second->id == id) {
         this->accounts_by_key.erase(indexed);
       }
@@ -171,10 +172,10 @@
 }
 
 void ConfigState::CountReferences(const ConfigObject& object, int64_t difference) {
-  for (const ObjectName& named : References(object.spec)) {
-    int64_t& count = this->reference_counts[named];
+  for (const ObjectName& referenced : References(object.spec)) {
+    int64_t& count = this->reference_counts[referenced];
     count += difference;
-    if (count == 0) this->reference_counts.erase(named);
+    if (count == 0) this->reference_counts.erase(referenced);
   }
 }
 
--- a/src/config/objects.cc
+++ b/src/config/objects.cc
@@ -1,4 +1,4 @@
-// One Parse function for each kind; objects.h tells what the keys mean.
+// Holds one parse function for each kind.  See objects.h for the meaning of the keys.
 
 #include "config/objects.h"
 
@@ -27,8 +27,8 @@
 ObjectSpec ParseAccount(TomlReader& reader) {
   AccountSpec spec;
   spec.key_sha256 = reader.String("key_sha256", std::nullopt);
-  bool hex = std::all_of(spec.key_sha256.begin(), spec.key_sha256.end(), IsHexDigit);
-  if (!spec.key_sha256.empty() && (!hex || spec.key_sha256.size() != kSha256HexDigits)) {
+  bool is_hex = std::all_of(spec.key_sha256.begin(), spec.key_sha256.end(), IsHexDigit);
+  if (!spec.key_sha256.empty() && (!is_hex || spec.key_sha256.size() != kSha256HexDigits)) {
     reader.Error("key_sha256", "expected 64 hexadecimal digits in lower case");
   }
   spec.class_name = reader.String("class", std::nullopt);
@@ -110,6 +110,7 @@
   return spec;
 }
 
+// A kind of object and the function that parses its table.
 struct Kind {
   std::string name;
   ObjectSpec (*parse)(TomlReader& reader);
@@ -141,7 +142,7 @@
   for (const Kind& known : Kinds()) {
     if (known.name != kind) continue;
     TomlReader reader(table, file, prefix, errors);
-    // The name is the object's key in the configuration, not a part of its body.
+    // The name is the object's key and not a part of its body; reading it marks the key as known.
     reader.String("name", std::string());
     ObjectSpec spec = known.parse(reader);
     reader.Finish();
--- a/src/config/objects.h
+++ b/src/config/objects.h
@@ -1,6 +1,6 @@
-// The kinds of object that a configuration is made of, as value types.
+// The kinds of objects in a configuration, as value types.
 //
-// Operators write them in TOML, one [[kind]] table for each object:
+// Operators write objects in TOML, one [[kind]] table for each object:
 //
 //   [[class]]
 //   name = "counter"
@@ -11,9 +11,9 @@
 //   class = "counter"
 //   key_sha256 = "..."
 //
-// Objects name each other (an account names its class), and state intent by
-// selectors over labels rather than by naming single boxes.  ParseObject turns
-// one table into one object; docs/OPERATORS.md lists every key.
+// Objects refer to each other by name, as an account refers to its class.  They select accounts and
+// engines by labels rather than by the names of single boxes.  ParseObject converts one table to
+// one object; docs/OPERATORS.md lists every key.
 
 #ifndef GULLWARD_CONFIG_OBJECTS_H_
 #define GULLWARD_CONFIG_OBJECTS_H_
@@ -27,15 +27,15 @@
 
 namespace gullward {
 
-// Bounds of what a configuration may ask for.
+// Upper bounds of values in a configuration.
 inline constexpr int64_t kMaxPriority = 7;
 inline constexpr int64_t kMaxValue = 1000;
 inline constexpr double kMaxTimeoutSeconds = 86400;
 
-// How requests are treated: their stated time where the caller gives none,
-// their priority (0 is served first) and their value (the higher, the later
-// shed).
+// How the requests of an account are treated.  priority: 0 is served first.  value: under overload,
+// requests with a higher value are refused later.
 struct ClassSpec {
+  // Applies to requests whose caller states no time.
   double timeout_seconds = 0;
   int64_t priority = 0;
   int64_t value = 0;
@@ -43,7 +43,7 @@
   bool operator==(const ClassSpec&) const = default;
 };
 
-// A client account.  Only a hash of its API key is kept.
+// A client account.  The configuration holds only a hash of its API key.
 struct AccountSpec {
   std::string key_sha256;
   std::string class_name;
@@ -53,7 +53,7 @@
   bool operator==(const AccountSpec&) const = default;
 };
 
-// Limits of every account whose labels match.  0 means no limit.
+// Limits that apply to each account whose labels match.  0 means no limit.
 struct LimitSpec {
   Selector accounts;
   double tokens_per_second = 0;
@@ -63,7 +63,7 @@
   bool operator==(const LimitSpec&) const = default;
 };
 
-// A model that callers may name.
+// A model that requests may name.
 struct ModelSpec {
   double bytes_per_token = 0;
   int64_t context_tokens = 0;
@@ -72,7 +72,7 @@
   bool operator==(const ModelSpec&) const = default;
 };
 
-// An adapter of a model; callers name it in the model's place.
+// An adapter of a model.  Requests name it instead of the model.
 struct AdapterSpec {
   std::string model;
   Labels labels;
@@ -88,7 +88,7 @@
   bool operator==(const GroupSpec&) const = default;
 };
 
-// Intent: so many of the matching engines hold this model at this version.
+// Desired placement: `count` of the matching engines are to hold this version of the model.
 struct PlacementSpec {
   std::string model;
   std::string version;
@@ -98,7 +98,7 @@
   bool operator==(const PlacementSpec&) const = default;
 };
 
-// A plain service that callers reach at /v1/services/NAME/.
+// A plain service, which callers reach at /v1/services/NAME/.
 struct ServiceSpec {
   double timeout_seconds = 0;
   bool repeatable = false;
@@ -113,14 +113,14 @@
   bool operator==(const LeavingSpec&) const = default;
 };
 
-// How requests are spread; the object named "default" is in force.
+// How requests are routed.  Only the object named "default" is used.
 struct RoutingSpec {
   std::string policy = "estimate";
-  // Prompts of at least so many tokens count as long.
+  // Prompts with at least this many tokens count as long.
   int64_t long_tokens = 32768;
   // The share of a model's engines that long prompts may use.
   double long_share = 0.5;
-  // The share of an engine's memory that groups may hold.
+  // The share of an engine's memory that groups may use.
   double group_memory_share = 0.9;
   // Retries allowed for each success.
   double retry_ratio = 0.1;
@@ -131,7 +131,7 @@
 using ObjectSpec = std::variant<ClassSpec, AccountSpec, LimitSpec, ModelSpec, AdapterSpec,
                                 GroupSpec, PlacementSpec, ServiceSpec, LeavingSpec, RoutingSpec>;
 
-// Kind and name of an object, as in "account" and "shop".
+// Kind and name of an object, such as "account" and "shop".
 struct ObjectName {
   std::string kind;
   std::string name;
@@ -139,15 +139,15 @@
   auto operator<=>(const ObjectName&) const = default;
 };
 
-// All kinds, in the order in which files and dumps show them.
+// Returns all kinds, in the order in which files and status pages list them.
 const std::vector<std::string>& ObjectKinds();
 
-// Reads the keys of one object, without its name.  Mistakes are noted in
-// `errors`; the result then is not to be used.  An unknown kind is a mistake.
+// Parses the keys of one object, without its name.  Appends every error, such as an unknown kind,
+// to `errors`; the result must not be used if there is any.
 ObjectSpec ParseObject(const std::string& kind, const toml::table& table, const std::string& file,
                        const std::string& prefix, std::vector<ConfigError>* errors);
 
-// The other objects that an object names; they must exist.
+// Returns the other objects to which an object refers.  They must exist.
 std::vector<ObjectName> References(const ObjectSpec& spec);
 
 }  // namespace gullward
--- a/src/config/testing/config_test.cc
+++ b/src/config/testing/config_test.cc
@@ -1,4 +1,5 @@
-// Replay of configuration: races, references, gaps, snapshots, peers.
+// Tests the replay of configuration records (conflicts, references, gaps, snapshots), the exchange
+// of records between peers, and configuration files.
 
 #define BOOST_TEST_MODULE config
 #include <boost/test/unit_test.hpp>
@@ -27,21 +28,21 @@
 
 std::string KeyOf(char digit) { return std::string(64, digit); }
 
-// Configuration changes from a base of one class at offset 0, and their fate.
+// A change that follows the record at offset 0, which creates the class "c", and its result.
 struct Row {
   const char* what;
   std::vector<ObjectChange> objects;
   ResultCode code;
 };
 
-BOOST_AUTO_TEST_CASE(FatesOfChanges) {
+BOOST_AUTO_TEST_CASE(ChangesAreAcceptedOrRejected) {
   const std::vector<Row> rows = {
       {"a new object", {Write("class", "new", -1, kClass)}, ResultCode::kOk},
       {"based on the version in force",
        {Write("class", "c", 0, "timeout_seconds = 9")},
        ResultCode::kOk},
       {"new, but it exists", {Write("class", "c", -1, kClass)}, ResultCode::kConfigConflict},
-      {"based on a version that never was",
+      {"based on a version that never existed",
        {Write("class", "c", 7, kClass)},
        ResultCode::kConfigConflict},
       {"one of two is stale: neither is written",
@@ -50,10 +51,10 @@
       {"one object twice",
        {Write("class", "c", 0, kClass), Write("class", "c", 0, kClass)},
        ResultCode::kConfigConflict},
-      {"names a class that is not there",
+      {"refers to a class that does not exist",
        {Write("account", "a", -1, AccountBody('a', "none"))},
        ResultCode::kConfigInvalid},
-      {"names a class written by the same change",
+      {"refers to a class written by the same change",
        {Write("account", "a", -1, AccountBody('a', "new")), Write("class", "new", -1, kClass)},
        ResultCode::kOk},
       {"unknown kind", {Write("wizard", "w", -1, "")}, ResultCode::kConfigInvalid},
@@ -64,7 +65,7 @@
        {Write("class", "new", -1, "timeout_seconds = -5")},
        ResultCode::kConfigInvalid},
       {"not TOML", {Write("class", "new", -1, "= = =")}, ResultCode::kConfigInvalid},
-      {"deletes what nobody names", {{"class", "c", 0, true, ""}}, ResultCode::kOk},
+      {"deletes an object without references", {{"class", "c", 0, true, ""}}, ResultCode::kOk},
   };
   for (const Row& row : rows) {
     ConfigState state;
@@ -72,19 +73,19 @@
     ConfigSnapshot before = state.Snapshot();
     ApplyResult result = state.Apply(1, Change(2, row.objects));
     BOOST_TEST((result.code == row.code), row.what << ": " << Info(result.code).name);
-    // All or nothing: a rejected change leaves every object as it was.
+    // A rejected change leaves every object unchanged.
     if (row.code != ResultCode::kOk) BOOST_TEST((state.Snapshot().objects == before.objects));
     BOOST_TEST(state.offset() == 1);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ANamedClassCannotBeDeleted) {
+BOOST_AUTO_TEST_CASE(AReferencedClassCannotBeDeleted) {
   ConfigState state;
   state.Apply(0, Change(1, {Write("class", "c", -1, kClass),
                             Write("account", "a", -1, AccountBody('a', "c"))}));
   ApplyResult result = state.Apply(1, Change(2, {{"class", "c", 0, true, ""}}));
   BOOST_TEST((result.code == ResultCode::kConfigInvalid));
-  // Both together may go.
+  // The class and the account can be deleted together.
   result = state.Apply(2, Change(3, {{"class", "c", 0, true, ""}, {"account", "a", 0, true, ""}}));
   BOOST_TEST((result.code == ResultCode::kOk));
   BOOST_TEST(state.size() == 0u);
@@ -95,8 +96,9 @@
   state.Apply(0, Change(1, {Write("class", "c", -1, kClass),
                             Write("account", "a", -1, AccountBody('a', "c"))}));
   BOOST_TEST(state.AccountOfKey(KeyOf('a'))->id.name == "a");
-  ApplyResult taken = state.Apply(1, Change(2, {Write("account", "b", -1, AccountBody('a', "c"))}));
-  BOOST_TEST((taken.code == ResultCode::kConfigInvalid));
+  ApplyResult duplicate =
+      state.Apply(1, Change(2, {Write("account", "b", -1, AccountBody('a', "c"))}));
+  BOOST_TEST((duplicate.code == ResultCode::kConfigInvalid));
   state.Apply(2, Change(3, {Write("account", "a", 0, AccountBody('b', "c"))}));
   BOOST_TEST(state.AccountOfKey(KeyOf('a')) == nullptr);
   BOOST_TEST(state.AccountOfKey(KeyOf('b'))->id.name == "a");
@@ -114,24 +116,24 @@
 
 // ----------------------------------------------------------------------- feed
 
-// A log of `count` changes, with snapshots cut at the given offsets' prefixes and
-// appended later, as a snapshot cut while changes arrive is.
+// Returns a log of `count` records.  Each pair of `snapshots` is the offset that a snapshot covers
+// and the later offset at which it stands: changes may arrive while a snapshot is written.
 std::vector<OffsetRecord> MakeLog(int count, const std::vector<std::pair<int, int>>& snapshots) {
   std::vector<OffsetRecord> log;
   ConfigState state;
-  std::map<int, ConfigSnapshot> cut;
+  std::map<int, ConfigSnapshot> taken;
   std::map<std::string, int64_t> versions;
   for (int i = 0; static_cast<int>(log.size()) < count; ++i) {
     auto offset = static_cast<int64_t>(log.size());
     LogRecord record = UnknownRecord{};
-    bool placed = false;
-    for (const auto& [cut_at, placed_at] : snapshots) {
-      if (placed_at == offset) {
-        record = cut[cut_at];
-        placed = true;
+    bool is_snapshot = false;
+    for (const auto& [covered, position] : snapshots) {
+      if (position == offset) {
+        record = taken[covered];
+        is_snapshot = true;
       }
     }
-    if (!placed) {
+    if (!is_snapshot) {
       std::string name = "c" + std::to_string(i % 3);
       int64_t version = versions.count(name) > 0 ? versions[name] : -1;
       record =
@@ -141,7 +143,7 @@
     }
     log.push_back({offset, EncodeRecord(record)});
     state.Apply(offset, record);
-    cut[static_cast<int>(offset)] = state.Snapshot();
+    taken[static_cast<int>(offset)] = state.Snapshot();
   }
   return log;
 }
@@ -156,8 +158,9 @@
   return {log.begin() + static_cast<ptrdiff_t>(from), log.begin() + static_cast<ptrdiff_t>(to)};
 }
 
-BOOST_AUTO_TEST_CASE(EveryTrimmedStartEndsInTheSameState) {
-  // Cut at 9 but appended at 12, with changes between; and again at 20 and 21.
+BOOST_AUTO_TEST_CASE(ReplayFromAnyTrimmedLogGivesTheSameState) {
+  // One snapshot covers offset 9 and stands at 12, after two more changes; another covers 20 and
+  // stands at 21.
   std::vector<OffsetRecord> log = MakeLog(30, {{9, 12}, {20, 21}});
   ConfigSnapshot whole = Replay(log);
   for (size_t earliest = 0; earliest <= 21; ++earliest) {
@@ -172,21 +175,21 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WithoutABridgeNothingIsInForce) {
-  // The snapshot at 12 covers up to 9 only; records 10 and 11 are trimmed.
+BOOST_AUTO_TEST_CASE(ASnapshotThatLeavesAGapIsNotLoaded) {
+  // The snapshot at 12 covers only offsets up to 9, and the records up to 10 are trimmed.
   std::vector<OffsetRecord> log = MakeLog(15, {{9, 12}});
   ConfigFeed feed;
   feed.ApplyLogRecords(11, Slice(log, 11, log.size()));
   BOOST_TEST(feed.state().size() == 0u);
   BOOST_TEST(!feed.IsReady(Time(), seconds(5)));
-  // A peer that has it all helps, and what was buffered is not lost.
+  // Records of a peer close the gap, and the buffered records are applied after them.
   ConfigFeed peer;
   peer.ApplyLogRecords(0, Slice(log, 0, 12));
   feed.ApplyPeerRecords(peer.RecordsAfter(feed.state().offset()).records);
   BOOST_TEST((feed.state().Snapshot() == Replay(log)));
 }
 
-BOOST_AUTO_TEST_CASE(PeersFeedOnlyForward) {
+BOOST_AUTO_TEST_CASE(PeerRecordsNeverRevertTheState) {
   std::vector<OffsetRecord> log = MakeLog(600, {});
   ConfigFeed ahead;
   ahead.ApplyLogRecords(0, log);
@@ -196,7 +199,7 @@
     ConfigRecords answer = ahead.RecordsAfter(feed.state().offset());
     feed.ApplyPeerRecords(answer.records);
     BOOST_TEST((feed.state().Snapshot() == ahead.state().Snapshot()), "known " << known);
-    // The same again, and an older peer's, change nothing.
+    // The same records again, and records of a peer with an older state, change nothing.
     feed.ApplyPeerRecords(answer.records);
     ConfigFeed old;
     old.ApplyLogRecords(0, Slice(log, 0, 10));
@@ -205,7 +208,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AProcessThatIsBehindStopsServingInTime) {
+BOOST_AUTO_TEST_CASE(AProcessThatStaysBehindIsNotReady) {
   ConfigFeed feed;
   BOOST_TEST(!feed.IsReady(Time(), seconds(5)));
   feed.ApplyLogRecords(0, MakeLog(3, {}));
@@ -216,7 +219,7 @@
   BOOST_TEST(!feed.IsReady(Time(seconds(105)), seconds(5)));
 }
 
-BOOST_AUTO_TEST_CASE(UnknownRecordsAreSkippedAlike) {
+BOOST_AUTO_TEST_CASE(UnknownRecordsAreSkipped) {
   std::vector<OffsetRecord> log = MakeLog(3, {});
   log[1].body = "from a later version";
   ConfigFeed feed;
@@ -228,7 +231,7 @@
 
 // ----------------------------------------------------------------------- files
 
-BOOST_AUTO_TEST_CASE(FilesReportEveryMistakeWithItsPlace) {
+BOOST_AUTO_TEST_CASE(EveryErrorInAFileIsReportedWithItsLine) {
   std::vector<ConfigError> errors;
   auto file = ParseConfigFile(
       "based_on = \"x\"\n[[class]]\nname = \"c\"\ntimeout_seconds = \"long\"\n"
@@ -241,14 +244,14 @@
   const std::vector<std::string> expected = {
       "fleet.toml:1: based_on: expected a whole number from -1 to 9223372036854775807",
       "fleet.toml:4: class[0].timeout_seconds: expected a number from 0.01 to 86400",
-      "fleet.toml:14: class[1].name: the class \"c\" stands twice in this file",
+      "fleet.toml:14: class[1].name: the class \"c\" occurs twice in this file",
       "fleet.toml:8: account[0].key_sha256: expected 64 hexadecimal digits in lower case",
       "fleet.toml:9: account[0].width: unknown key",
       "fleet.toml:11: delete[0].kind: unknown kind \"wizard\""};
   BOOST_TEST(lines == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(AWrittenFileChangesNothingWhenPublishedAgain) {
+BOOST_AUTO_TEST_CASE(PublishingAnUnchangedFileMakesNoChange) {
   ConfigState state;
   std::vector<ConfigError> errors;
   auto file = ParseConfigFile(
@@ -264,7 +267,7 @@
   BOOST_TEST(MakeChange(*again, state, {1, 2}).objects.empty());
 }
 
-BOOST_AUTO_TEST_CASE(AFileBasedOnAnOlderOffsetLoses) {
+BOOST_AUTO_TEST_CASE(AFileBasedOnAnOlderOffsetIsRejected) {
   ConfigState state;
   state.Apply(0, Change(1, {Write("class", "c", -1, kClass)}));
   state.Apply(1, Change(2, {Write("class", "c", 0, "timeout_seconds = 9")}));
