--- a/src/config/config_file.cc
+++ b/src/config/config_file.cc
@@ -30,9 +30,8 @@
     TomlReader reader(*table, file, prefix, errors);
     std::string name = reader.String("name", std::nullopt);
     ParseObject(kind, *table, file, prefix, errors);
-    bool is_new = result->written.emplace(ObjectName{kind, name}, FormatBody(*table)).second;
-    if (!is_new)
-      reader.Error("name", "the " + kind + " \"" + name + "\" occurs twice in this file");
+    bool added = result->written.emplace(ObjectName{kind, name}, FormatBody(*table)).second;
+    if (!added) reader.Error("name", "the " + kind + " \"" + name + "\" occurs twice in this file");
   }
 }
 
