--- a/src/admission/account_limits.h
+++ b/src/admission/account_limits.h
@@ -1,7 +1,7 @@
 // Enforces the limits of client accounts: the token rate and the number of requests in flight.
 //
-// The limits of an account are those of the [[limit]] objects whose selectors match the account's
-// labels.  Where several match, the smallest value of each kind applies.  A token bucket enforces
+// An account has the limits of all [[limit]] objects whose selectors match the account's labels.
+// Where several match, the smallest value of each kind applies.  A token bucket enforces
 // the rate: the bucket fills at tokens_per_second up to burst_tokens, and an admitted request
 // takes the tokens of its prompt and its answer from it.
 //
--- a/src/request/entry_core.cc
+++ b/src/request/entry_core.cc
@@ -149,22 +149,22 @@
   // Dispatch reports that there is no engine.
   if (candidates.empty()) return ResultCode::kOk;
   RoutingRequest routing = this->MakeRoutingRequest(request);
-  // Estimated seconds to the first token.
-  double least = -1;
+  // Estimated seconds to the first token; -1 until there is an estimate.
+  double min_seconds = -1;
   double share = this->config->state().Routing().group_memory_share;
   if (NeedsGroup(routing, candidates, share)) {
-    least = 0;
+    min_seconds = 0;
     for (const GroupPiece& piece : PlanGroup(routing, candidates, share)) {
-      least += piece.prefill_seconds;
+      min_seconds += piece.prefill_seconds;
     }
   } else {
     for (const EngineView& engine : candidates) {
       double estimate = EstimateFirstToken(routing, engine);
-      if (least < 0 || estimate < least) least = estimate;
+      if (min_seconds < 0 || estimate < min_seconds) min_seconds = estimate;
     }
   }
   double total =
-      least + this->model_stats.at(request.model).AnswerSeconds(request.input.max_tokens);
+      min_seconds + this->model_stats.at(request.model).AnswerSeconds(request.input.max_tokens);
   Duration excess = FromSeconds(total) - TimeLeft(request, now);
   if (excess.count() <= 0) return ResultCode::kOk;
   *retry_after = std::max<Duration>(excess, kDefaultRetryAfter);
--- a/src/request/entry_core.h
+++ b/src/request/entry_core.h
@@ -4,7 +4,7 @@
 // actions.  The shell (entry/entry_server) performs the actions: it speaks HTTP with callers and
 // exchanges frames with endpoint boxes.
 //
-//   EntryCore core(options);
+//   EntryCore core(options, &config_feed, now);
 //   RequestId id = core.Submit(std::move(input), now);
 //   core.OnMessage("box-3", chunk, now);
 //   for (const EntryAction& action : core.TakeActions()) Perform(action);
@@ -31,9 +31,9 @@
 // The new prompt is the old one followed by the text already passed to the caller, who receives
 // one complete answer.
 //
-// "ran".  A refusal by an endpoint process means that the work was not started.  For an offer
-// that was neither accepted nor refused, this is unknown.  A failure states "no" only if it is
-// unknown for no offer.
+// "ran" states whether a request ran: "no" before the first offer, "unknown" after an offer, "yes"
+// after a chunk of the answer.  A refusal by the endpoint process restores the value before the
+// offer, since nothing was started.  So a failure reports "no" only if every offer was refused.
 //
 // Time.  The deadline of a request is its arrival plus its stated time.  A request that by
 // estimate cannot finish before its deadline is refused at once; a request that exceeds its
--- a/src/routing/fleet_view.h
+++ b/src/routing/fleet_view.h
@@ -2,15 +2,16 @@
 // dispatches since that report.
 //
 // Load reports lag behind.  If entries used them alone, all entries would send their requests to
-// the engine that was idle a second ago.  So each report states, for each entry, the last
-// dispatch that it counts, and the entry adds its own later dispatches to the reported load.  A
-// dispatch no longer counts once a report includes it or its prefill is known to have ended.
+// the engine that was idle a second ago and overload it.  So each report states, for each entry,
+// the last dispatch that it counts, and the entry adds its own later dispatches to the reported
+// load.  A dispatch no longer counts once a report includes it or its prefill is known to have
+// ended.
 //
 //   FleetView fleet(own_incarnation);
 //   fleet.OnHeartbeat("box-3", heartbeat, now);
 //   uint64_t number = fleet.RecordDispatch(engine, priority, seconds, tokens);
 //   fleet.RecordPrefillEnd(engine, number);
-//   std::vector<EngineView> views = fleet.Candidates(model, now);
+//   std::vector<EngineView> views = fleet.Candidates(model, prefixes, now, false);
 //
 // A box is leaving if its own heartbeat, the platform's list or the configuration says so, and
 // gets no new work.  A heartbeat that says so holds until the box reports another incarnation.
