--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "serving/epoch_mark.h"
 #include "serving/gateway_entry.h"
 #include "serving/quarantine_entry.h"
+#include "serving/settled_epoch.h"
 
 namespace gullward {
 namespace {
@@ -49,7 +49,7 @@
            .regained = {},
            .read_short = {},
            .unreadable = {},
-           .pause_after_return = [this] { return this->DrawPauseAfterReturn(); }}),
+           .pause_after_return = [this] { return this->RandomDelayAfterReturn(); }}),
       random(own_incarnation),
       hooks(std::move(exchange_hooks)),
       freshness(own_incarnation) {}
@@ -69,7 +69,7 @@
   return EncodeGatewayEntry({this->box, this->own_address, this->data_centre});
 }
 
-Duration LoadExchange::DrawPauseAfterReturn() {
+Duration LoadExchange::RandomDelayAfterReturn() {
   double longest = ToSeconds(kReturnPauseForPeer) * static_cast<double>(this->directory.size());
   std::uniform_real_distribution<double> draw(0, longest);
   return FromSeconds(draw(this->random));
@@ -89,7 +89,7 @@
                          this->log->Write(LogLine("register_failed")
                                               .Number("status", answer.status)
                                               .Text("reason", answer.reason));
-                         this->recovery->Wait([this] { this->Register(); });
+                         this->recovery->RetryLater([this] { this->Register(); });
                        });
 }
 
@@ -109,8 +109,8 @@
     this->hooks.quarantine_record(*content, record.value);
     return;
   }
-  if (record.key == kEpochMarkKey) {
-    this->hooks.epoch_record(record.value);
+  if (record.key == kSettledEpochKey) {
+    this->hooks.settled_epoch_record(record.value);
     return;
   }
   if (record.key == this->box) return;
@@ -125,149 +125,153 @@
 }
 
 void LoadExchange::OnDatagram(std::string_view datagram) {
-  this->heard += 1;
+  this->received += 1;
   std::optional<LoadDigest> digest = DecodeDigest(datagram);
   if (!digest || digest->box == this->box) return;
-  if (digest->freshness) this->HearNote(*digest);
-  if (!digest->crash_news.empty()) this->HearNews(*digest);
+  if (digest->freshness) this->OnFreshnessNote(*digest);
+  if (!digest->crash_gossip.empty()) this->OnGossip(*digest);
   Time now = Now();
-  this->liveness.Hear(digest->box, now);
-  this->HearNotices(*digest, now);
-  this->HearOfStore(*digest);
+  this->liveness.OnDatagram(digest->box, now);
+  this->OnNotices(*digest, now);
+  this->OnStoreState(*digest);
   if (digest->is_offer) {
-    this->fleet->HearOffer(digest->box, digest->incarnation, digest->sequence, digest->loads, now);
+    this->fleet->ReceiveOffer(digest->box, digest->incarnation, digest->sequence, digest->loads,
+                              now);
     return;
   }
-  this->fleet->HearSetAside(digest->box, digest->set_aside, now);
+  this->fleet->ReceiveSetAside(digest->box, digest->set_aside, now);
   if (!this->fleet->mechanisms().peer_loads) return;
   this->fleet->loads().ApplyPeer(digest->box, digest->incarnation, digest->sequence, digest->loads,
                                  now);
 }
 
 // Offsets and copies of one epoch say nothing in another.
-void LoadExchange::HearOfStore(const LoadDigest& digest) {
+void LoadExchange::OnStoreState(const LoadDigest& digest) {
   if (digest.store_epoch) {
-    this->hooks.hear_epoch(*digest.store_epoch, digest.epoch_is_settled);
+    this->hooks.on_store_epoch(*digest.store_epoch, digest.epoch_is_settled);
   }
   if (digest.store_epoch != this->recovery->returns().epoch().current()) return;
-  this->hooks.hear_engines_read_to(digest.engines_read_to);
-  if (digest.engines_copied.content != 0) this->hooks.hear_engines_copied(digest.engines_copied);
+  this->hooks.on_engines_read_to(digest.engines_read_to);
+  if (digest.engines_copied.fingerprint != 0)
+    this->hooks.on_engines_copied(digest.engines_copied);
 }
 
-void LoadExchange::HearNote(const LoadDigest& digest) {
-  uint64_t own_version = this->hooks.version();
-  std::optional<Time> proved =
-      this->freshness.Hear(digest.box, digest.incarnation, *digest.freshness, own_version, Now());
-  if (proved) this->hooks.confirm(*proved);
+void LoadExchange::OnFreshnessNote(const LoadDigest& digest) {
+  uint64_t own_version = this->hooks.config_version();
+  std::optional<Time> proved = this->freshness.ReceiveNote(digest.box, digest.incarnation,
+                                                           *digest.freshness, own_version, Now());
+  if (proved) this->hooks.on_validated(*proved);
   if (digest.freshness->config_version <= own_version) return;
   const Peer* peer = this->directory.Find(digest.box);
-  this->hooks.behind(digest.freshness->config_version,
-                     peer != nullptr ? *peer : Peer{digest.box, {}, {}});
+  this->hooks.on_newer_version(digest.freshness->config_version,
+                               peer != nullptr ? *peer : Peer{digest.box, {}, {}});
 }
 
-void LoadExchange::HearNews(const LoadDigest& digest) {
-  CrashNews reply = this->hooks.hear_news(digest.box, digest.crash_news);
+void LoadExchange::OnGossip(const LoadDigest& digest) {
+  CrashGossip reply = this->hooks.on_gossip(digest.box, digest.crash_gossip);
   if (reply.empty()) return;
   const Peer* peer = this->directory.Find(digest.box);
-  if (peer != nullptr) this->SendNews(*peer, std::move(reply), Now());
+  if (peer != nullptr) this->SendGossip(*peer, std::move(reply), Now());
 }
 
 // One part at a time, to a few: what waits goes with the next ticks.
-void LoadExchange::TellNews(Time now) {
-  CrashNews news = this->hooks.take_news();
+void LoadExchange::SendPendingGossip(Time now) {
+  CrashGossip news = this->hooks.take_gossip();
   if (news.empty()) return;
-  for (const Peer* peer : this->directory.Draw(CrashNewsQueue::kFanout, &this->random)) {
-    this->SendNews(*peer, news, now);
+  for (const Peer* peer : this->directory.Sample(CrashGossipQueue::kFanout, &this->random)) {
+    this->SendGossip(*peer, news, now);
   }
 }
 
-void LoadExchange::SendNews(const Peer& peer, CrashNews news, Time now) {
+void LoadExchange::SendGossip(const Peer& peer, CrashGossip news, Time now) {
   LoadDigest digest = this->NewDigest(now);
   digest.sequence = ++this->sequence;
-  digest.crash_news = std::move(news);
+  digest.crash_gossip = std::move(news);
   this->Send(peer, EncodeDigest(digest));
 }
 
-void LoadExchange::TellFreshness(Time now) {
-  uint64_t version = this->hooks.version();
+void LoadExchange::SendFreshness(Time now) {
+  uint64_t version = this->hooks.config_version();
   if (version == 0) return;
   this->freshness.BeginRound(now);
   LoadDigest digest = this->NewDigest(now);
   for (const Peer* peer : this->Neighbours(now)) {
     digest.sequence = ++this->sequence;
-    digest.freshness = this->freshness.NoteFor(peer->box, version, this->hooks.proved(), now);
+    digest.freshness = this->freshness.NoteFor(peer->box, version, this->hooks.validated_at(), now);
     this->Send(*peer, EncodeDigest(digest));
   }
 }
 
 void LoadExchange::Tick(Time now) {
-  this->TellNews(now);
-  if (now - this->last_told >= kGatherChanges) this->Tell(now);
+  this->SendPendingGossip(now);
+  if (now - this->last_send >= kSendInterval) this->SendLoads(now);
 }
 
-void LoadExchange::Tell(Time now) {
+void LoadExchange::SendLoads(Time now) {
   if (std::exchange(this->peers_changed, false)) {
     this->fleet->SetGateways(this->directory.Names());
   }
   if (this->directory.size() == 0) return;
-  this->last_told = now;
-  bool refresh = now - this->refreshed >= kRefresh;
+  this->last_send = now;
+  bool refresh = now - this->last_refresh >= kRefreshInterval;
   if (refresh) {
-    this->refreshed = now;
+    this->last_refresh = now;
     this->rounds += 1;
     this->directory.BeginRound();
-    this->TellFreshness(now);
+    this->SendFreshness(now);
     this->SendOffers(now);
-    this->NoteSilentPeers(now);
+    this->UpdateSilentPeers(now);
   }
-  this->TellNotices(refresh && this->rounds % kNoticeRounds == 0, now);
-  this->SendToCells(this->TakeUntold(refresh, now), now);
+  this->SendNotices(refresh && this->rounds % kRoundsPerNoticeRefresh == 0, now);
+  this->SendToCells(this->TakeUnsent(refresh, now), now);
 }
 
 // The loads that the others must hear of now, or all of them; they count as told.
-std::map<std::string, EngineLoad> LoadExchange::TakeUntold(bool all, Time now) {
-  std::map<std::string, EngineLoad> own = this->fleet->loads().Own(now);
+std::map<std::string, EngineLoad> LoadExchange::TakeUnsent(bool all, Time now) {
+  std::map<std::string, EngineLoad> own = this->fleet->loads().OwnLoads(now);
   // What was told and is no more is told once as zero.
-  for (const auto& [engine, load] : this->told) own.try_emplace(engine);
-  std::map<std::string, EngineLoad> untold;
+  for (const auto& [engine, load] : this->sent_loads) own.try_emplace(engine);
+  std::map<std::string, EngineLoad> unsent;
   bool count_reading = this->fleet->mechanisms().tell_reading;
   for (const auto& [engine, load] : own) {
-    auto before = this->told.find(engine);
-    bool is_new = before == this->told.end() || IsNews(before->second, load, count_reading);
+    auto before = this->sent_loads.find(engine);
+    bool is_new =
+        before == this->sent_loads.end() || IsSignificantChange(before->second, load, count_reading);
     if (!is_new && !all) continue;
-    untold[engine] = load;
+    unsent[engine] = load;
     if (load.requests == 0 && load.reading_ms == 0) {
-      this->told.erase(engine);
+      this->sent_loads.erase(engine);
     } else {
-      this->told[engine] = load;
+      this->sent_loads[engine] = load;
     }
   }
-  return untold;
+  return unsent;
 }
 
 std::vector<const Peer*> LoadExchange::Neighbours(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<const Peer*> neighbours =
-      this->directory.NextOf(plan.main_service(), main.cells, main.home, plan.revision());
+      this->directory.MembersForRound(plan.main_service(), main.cells, main.home, plan.revision());
   this->neighbour_count = neighbours.size();
   return neighbours;
 }
 
 // Nobody where the engine is no longer listed: nobody chooses it then.
-std::vector<const Peer*> LoadExchange::ThoseOnEngine(const std::string& engine, Time now) {
+std::vector<const Peer*> LoadExchange::GatewaysOfEngine(const std::string& engine, Time now) {
   const EngineRecord* record = this->fleet->directory().FindIncarnation(engine);
   if (record == nullptr) return {};
   const WorkPlan& plan = this->fleet->plan(now);
-  const CellMap& cells = plan.Of(record->service).cells;
-  return this->directory.NextOf(record->service, cells, cells.CellOf(*record), plan.revision());
+  const CellMap& cells = plan.ForService(record->service).cells;
+  return this->directory.MembersForRound(record->service, cells, cells.CellOf(*record),
+                                         plan.revision());
 }
 
 // To the members of each engine's cell; engines with the same ones share datagrams.
 void LoadExchange::SendToCells(const std::map<std::string, EngineLoad>& loads, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, EngineLoad>> by_members;
   for (const auto& [engine, load] : loads) {
-    by_members[this->ThoseOnEngine(engine, now)][engine] = load;
+    by_members[this->GatewaysOfEngine(engine, now)][engine] = load;
   }
   for (auto& [members, part] : by_members) this->SendInParts(std::move(part), members, now);
 }
@@ -291,23 +295,23 @@
 void LoadExchange::SendOffers(Time now) {
   if (!this->fleet->mechanisms().spill) return;
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<const Peer*> receivers =
-      this->directory.DrawOutside(main.cells, main.home, Spill::kReceivers, &this->random);
+      this->directory.SampleOutside(main.cells, main.home, Spill::kReceiversPerRound, &this->random);
   if (receivers.empty()) return;
   LoadDigest digest = this->NewDigest(now);
   digest.is_offer = true;
   digest.sequence = ++this->sequence;
-  digest.loads = this->fleet->Offer(now);
+  digest.loads = this->fleet->EnginesToOffer(now);
   std::string datagram = EncodeDigest(digest);
   for (const Peer* peer : receivers) this->Send(*peer, datagram);
 }
 
 // Changes at once, all that still holds in each round.
-void LoadExchange::TellNotices(bool all, Time now) {
-  std::map<std::vector<const Peer*>, std::map<std::string, NoticeWord>> by_members;
-  for (const auto& [engine, word] : this->fleet->NoticesToTell(all, now)) {
-    by_members[this->ThoseOnEngine(engine, now)][engine] = word;
+void LoadExchange::SendNotices(bool all, Time now) {
+  std::map<std::vector<const Peer*>, std::map<std::string, NoticeReport>> by_members;
+  for (const auto& [engine, word] : this->fleet->NoticesToSend(all, now)) {
+    by_members[this->GatewaysOfEngine(engine, now)][engine] = word;
   }
   for (auto& [members, words] : by_members) {
     LoadDigest digest = this->NewDigest(now);
@@ -323,9 +327,9 @@
   }
 }
 
-void LoadExchange::HearNotices(const LoadDigest& digest, Time now) {
+void LoadExchange::OnNotices(const LoadDigest& digest, Time now) {
   for (const auto& [engine, word] : digest.notices) {
-    EngineNotices::Change change = this->fleet->notices().HearWord(engine, word, now);
+    EngineNotices::Change change = this->fleet->notices().ReceiveReport(engine, word, now);
     if (!change.any()) continue;
     LogLine line("engine_notice");
     line.Text("engine", engine).Text("told_by", digest.box);
@@ -337,15 +341,15 @@
 }
 
 // The members of the home cell tell each other something in every round.
-void LoadExchange::NoteSilentPeers(Time now) {
+void LoadExchange::UpdateSilentPeers(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<std::string> boxes;
   for (const Peer* peer :
        this->directory.MembersOf(plan.main_service(), main.cells, main.home, plan.revision())) {
     boxes.push_back(peer->box);
   }
-  this->fleet->SetSilentGateways(this->liveness.Silent(boxes, now));
+  this->fleet->SetSilentGateways(this->liveness.SilentPeers(boxes, now));
 }
 
 void LoadExchange::Send(const Peer& peer, const std::string& datagram) {
@@ -364,8 +368,8 @@
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   digest.store_epoch = epoch.current();
   digest.epoch_is_settled = epoch.IsSettledFor(now);
-  for (const std::string& engine : this->fleet->SetAside(now)) {
-    if (digest.set_aside.size() < kMostSetAsideTold) digest.set_aside.insert(engine);
+  for (const std::string& engine : this->fleet->SetAsideEngines(now)) {
+    if (digest.set_aside.size() < kMaxSetAsideEntries) digest.set_aside.insert(engine);
   }
   return digest;
 }
