--- a/src/serving/attempt_result.cc
+++ b/src/serving/attempt_result.cc
@@ -1,4 +1,4 @@
-// attempt_result.h tells the rules.
+// A request is retried only if the retry cannot run it more often than its route allows.
 
 #include "serving/attempt_result.h"
 
@@ -9,8 +9,8 @@
 
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
-// Statuses that would promise a caller that nothing has run.
-bool PromisesNotRun(int status) {
+// Whether a caller may take this status to mean that the request did not run.
+bool ImpliesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -28,8 +28,9 @@
   if (IsSuccess(facts.status)) {
     return facts.sealed ? AttemptResult::kSuccess : AttemptResult::kUnknown;
   }
-  // Passed on, such a status would promise what the engine does not.
-  if (PromisesNotRun(facts.status)) return AttemptResult::kUnknown;
+  // Sent to the caller, such a status would state that the request did not run, which the engine
+  // has not said.
+  if (ImpliesNotRun(facts.status)) return AttemptResult::kUnknown;
   return facts.status >= 500 ? AttemptResult::kEngineFailure : AttemptResult::kRejected;
 }
 
@@ -38,8 +39,8 @@
   bool was_not_run = result == AttemptResult::kNotRun || result == AttemptResult::kWrongEngine;
   bool attempts_left =
       state.attempts_run < state.max_attempts && state.attempts < kMaxAttempts && state.time_left;
-  bool worth_retry = was_not_run || (result != AttemptResult::kRejected && MayRepeat(state));
-  if (attempts_left && worth_retry) return NextStep::kRetry;
+  bool is_retryable = was_not_run || (result != AttemptResult::kRejected && MayRepeat(state));
+  if (attempts_left && is_retryable) return NextStep::kRetry;
   return DecideWithoutRetry(result, state);
 }
 
@@ -49,8 +50,8 @@
       result == AttemptResult::kEngineFailure || result == AttemptResult::kRejected;
   if (engine_answered) return NextStep::kDeliver;
   if (result == AttemptResult::kUnknown) return NextStep::kFail;
-  // A request that may be repeated can be refused: running it again is harmless
-  // and the caller is told when to come back.
+  // A request that may be repeated can be refused even if it has run: a second run is harmless, and
+  // the refusal states when the caller may retry.
   bool ran_once = state.may_have_run && state.repeat == Repeat::kNever;
   return ran_once ? NextStep::kFail : NextStep::kRefuse;
 }
--- a/src/serving/attempt_result.h
+++ b/src/serving/attempt_result.h
@@ -1,8 +1,7 @@
-// What one attempt at an engine came to, and what follows for the request.
+// Classifies the outcome of one attempt at an engine and decides the next step of its request.
 //
-// The engine's transport and answer are first put into one of a few classes
-// (Classify), then the request's state decides (DecideNext).  Both are pure, so
-// every combination stands in a table of the test.
+// Classify maps the engine's answer to one of a few results.  DecideNext combines a result with
+// the state of the request.  Both functions are pure, and their test covers every combination.
 //
 //   AttemptResult result = Classify(answer);
 //   NextStep step = DecideNext(result, state);
@@ -15,26 +14,26 @@
 namespace gullward {
 
 enum class AttemptResult {
-  // A whole answer of success, sealed by the engine.
+  // A complete answer of success, sealed by the engine.
   kSuccess,
-  // A whole answer of failure (5xx) that the engine stands by; it has run.
+  // A complete answer of failure (5xx) from the engine itself; the request has run.
   kEngineFailure,
-  // The engine turns the request itself down (3xx, 4xx): any other would too.
+  // The engine rejects the request itself (3xx, 4xx); any other engine would do the same.
   kRejected,
-  // The engine says that it did not run the request, or was never reached.
+  // The engine states that it did not run the request, or it was never reached.
   kNotRun,
-  // Another engine has taken over the address; not run.
+  // Another engine has taken over the address; the request did not run.
   kWrongEngine,
-  // Anything else: reset, cut short, garbled, timed out.  It may have run.
+  // Anything else: reset, truncated, malformed or timed out.  The request may have run.
   kUnknown,
 };
 
-// What is known of an answer's head, in the terms that decide.
+// The facts of an answer's head on which Classify depends.
 struct AnswerFacts {
   int status = 0;
   bool sealed = false;
   bool says_not_run = false;
-  // The body is encoded, which no caller asked for.
+  // The body has a content encoding, which no caller asked for.
   bool encoded = false;
 
   bool operator==(const AnswerFacts&) const = default;
@@ -44,14 +43,14 @@
 
 struct RequestState {
   Repeat repeat = Repeat::kNever;
-  // Attempts that may have run so far, the one that just ended included.
+  // Attempts that may have run so far, including the one that just ended.
   int attempts_run = 0;
   // All attempts so far.
   int attempts = 0;
   int max_attempts = 1;
-  // Whether part of the answer has gone to the caller.
+  // Whether a part of the answer has been sent to the caller.
   bool answer_begun = false;
-  // Whether any earlier attempt may have run.
+  // Whether an earlier attempt may have run.
   bool may_have_run = false;
   bool time_left = true;
 
@@ -59,26 +58,25 @@
 };
 
 enum class NextStep {
-  // Pass the answer on.
+  // Send the answer to the caller.
   kDeliver,
-  // Try another engine, if the retry budget has room.
+  // Try another engine, if the retry budget allows it.
   kRetry,
-  // Answer 503: it has not run.
+  // Answer 503: the request has not run.
   kRefuse,
-  // Answer 502: it may have run.
+  // Answer 502: the request may have run.
   kFail,
-  // Break the answer that has begun off, so that it is seen as incomplete.
+  // Abort the answer that has begun, so that the caller sees that it is incomplete.
   kBreakOff,
 };
 
-// Attempts that were certainly not run do not count against max_attempts, up to
-// this many attempts in all.
+// Maximum number of attempts in all.  Attempts that certainly did not run do not count towards
+// max_attempts, but they count towards this.
 inline constexpr int kMaxAttempts = 4;
 
 NextStep DecideNext(AttemptResult result, const RequestState& state);
 
-// What remains when another attempt is wanted but the budget is spent or no
-// engine is left.
+// The next step if a retry is needed, but the retry budget is spent or no engine is left.
 NextStep DecideWithoutRetry(AttemptResult result, const RequestState& state);
 
 }  // namespace gullward
--- a/src/serving/cell_map.h
+++ b/src/serving/cell_map.h
@@ -1,36 +1,34 @@
-// Which engines a gateway works on, and which gateways work on the same ones.
+// Divides a large fleet into cells: sets of engines, each with the gateways that work on them.
 //
-// Gateways that choose among the same engines have to tell each other of their work,
-// so what each tells and hears grows with their number, and what it prices with the
-// number of engines.  A large fleet is therefore divided into cells of a bounded number
-// of engines.  A gateway has its home in one cell of each service: it chooses among the
-// engines there and tells the gateways of that cell alone.
+// Gateways that choose among the same engines must report their work to each other.  The volume of
+// these reports grows with the number of such gateways, and the cost of a choice with the number
+// of engines.  A large fleet is therefore divided into cells of a bounded number of engines.  For
+// each service a gateway has one home cell: it chooses among the engines of that cell and sends
+// reports to the gateways of that cell only.
 //
-// Nobody assigns anything.  A cell follows from the engines' list, which all gateways
-// read, and from names:
+// There is no coordinator.  Each gateway computes the cells from the list of engines, which all
+// gateways read, and from names:
 //
-//   - a fleet of up to kWholeFleet engines is one cell;
-//   - else each data centre with kLeastEngines or more is an area of its own, so that
-//     telling stays within it; the engines and gateways of smaller ones join an area
-//     that is drawn by their data centre's name;
-//   - an area is divided by a hash, of the engine's id and of the gateway's box, into a
-//     power of two of cells, as few as hold kMostEngines each, but into no more than leave
-//     each cell kLeastGateways: engines in a cell without gateways would get no work.
+//   - A fleet of up to kMaxUndividedEngines engines is one cell.
+//   - In a larger fleet, each data centre with at least kMinAreaEngines engines is an area of its
+//     own, so that reports stay within it.  The engines and gateways of each smaller data centre
+//     join one of the areas, which a hash of the data centre's name selects.
+//   - An area is divided into cells by a hash of the engine's id and of the gateway's box.  The
+//     number of cells is the lowest power of two that leaves at most kMaxEngines engines in each
+//     (on average), but it is halved until each cell has at least kMinGateways gateways: engines
+//     in a cell without gateways would get no work.
 //
-// So what a cell holds is bounded by kMostEngines or by the engines that there are for
-// each few gateways, whichever is more; neither grows with the fleet.
+// The size of a cell is thus bounded by kMaxEngines or by the number of engines for each few
+// gateways, whichever is greater.  Neither grows with the fleet.
 //
-// Powers of two, so that when an area grows or shrinks past a bound each cell is cut in
-// two or joined with one other, and nobody else moves.  Gateways that have read the list
-// at different moments may disagree for as long; they then hear less of each other's
-// work, which lasts until both have read it.
+// Since the number of cells is a power of two, a change of it splits each cell in two or joins
+// two cells; all other engines and gateways stay where they are.  Gateways that have read
+// the list at different times may disagree on the cells.  Until both have read the same list, they
+// receive fewer of each other's reports.
 //
 //   CellMap cells(engines_of_the_service, gateways);
 //   Cell home = cells.HomeOf("box-7", "hall-1");
-//   bool mine = cells.CellOf(engine) == home;
-//
-// What a gateway tells and prices then depends on its cell and not on the fleet, and fewer
-// gateways choose the same engine in the same instant.
+//   bool is_home_engine = cells.CellOf(engine) == home;
 
 #ifndef GULLWARD_SERVING_CELL_MAP_H_
 #define GULLWARD_SERVING_CELL_MAP_H_
@@ -44,17 +42,18 @@
 
 namespace gullward {
 
+// Names one cell of a service.
 struct Cell {
-  // The data centre that the area is named after; empty where there is one area only.
+  // The data centre that the area is named after; empty if there is only one area.
   std::string area;
-  // In how many cells the area is divided, and which of them this is.
+  // The number of cells in the area, and the index of this one.
   size_t parts = 1;
   size_t index = 0;
 
   auto operator<=>(const Cell&) const = default;
 };
 
-// What places a gateway in a cell.
+// The names from which a gateway's home cell follows.
 struct GatewayName {
   std::string box;
   std::string data_centre;
@@ -64,38 +63,40 @@
 
 class CellMap {
  public:
-  // Engines up to which a fleet is one cell: a decision that prices so many takes 0.2 ms.
-  static constexpr size_t kWholeFleet = 72;
-  // Engines of one cell at the most.
+  // Maximum number of engines of an undivided fleet.  A choice among this many takes 0.2 ms.
+  static constexpr size_t kMaxUndividedEngines = 72;
+  // Maximum number of engines of one cell, on average over the area.
   static constexpr size_t kMaxEngines = 48;
-  // Engines of an area at the least: as many as may read one prompt together, so that no
-  // prompt is read by fewer for the division's sake.
-  static constexpr size_t kLeastEngines = 16;
+  // Minimum number of engines of an area: as many as may read one prompt together (kMaxReaders),
+  // so that the division does not reduce the readers of a prompt.
+  static constexpr size_t kMinAreaEngines = 16;
 
-  // Gateways that each cell has at the least.  One that dies then leaves none without.
-  static constexpr size_t kLeastGateways = 2;
+  // Minimum number of gateways of a cell, so that the failure of one gateway leaves no cell
+  // without any.
+  static constexpr size_t kMinGateways = 2;
 
   CellMap() = default;
-  // `gateways` are all that are known, this one among them.
+  // `gateways` are all known gateways, including this one.
   CellMap(const std::vector<const EngineRecord*>& engines,
           const std::vector<GatewayName>& gateways);
 
-  // The cell of an engine, and the one in which a gateway has its home.
+  // The cell of an engine, and the home cell of a gateway.
   Cell CellOf(const EngineRecord& engine) const;
   Cell HomeOf(const std::string& box, const std::string& data_centre) const;
 
   // Whether all engines are in one cell.
-  bool is_whole() const { return this->areas.empty() && this->parts_of_whole == 1; }
+  bool is_whole() const { return this->areas.empty() && this->single_area_parts == 1; }
 
  private:
-  void JoinEmptyCells(const std::vector<GatewayName>& gateways);
+  void JoinCellsShortOfGateways(const std::vector<GatewayName>& gateways);
   size_t& PartsOf(const std::string& area);
   std::string AreaOf(const std::string& data_centre) const;
   Cell Locate(const std::string& name, const std::string& data_centre) const;
 
-  // How many cells each area has, by its data centre; none where there is one area.
+  // The number of cells of each area, by its data centre; empty if there is only one area.
   std::map<std::string, size_t> areas;
-  size_t parts_of_whole = 1;
+  // The number of cells of the only area, if `areas` is empty.
+  size_t single_area_parts = 1;
 };
 
 }  // namespace gullward
--- a/src/serving/config_index.cc
+++ b/src/serving/config_index.cc
@@ -1,5 +1,5 @@
-// Prefixes begin and end with a slash, so the longest that fits is found by one
-// hash look-up for each slash of the path, from its end.
+// Path prefixes begin and end with a slash, so the longest matching one is found by a hash look-up
+// at each slash of the path, starting from its end.
 
 #include "serving/config_index.h"
 
--- a/src/serving/config_index.h
+++ b/src/serving/config_index.h
@@ -1,4 +1,4 @@
-// A ServingConfig with the look-ups that each request needs, built once a version.
+// Adds the look-ups that each request needs to a ServingConfig.  Built once for each version.
 //
 //   ConfigIndex index(config);
 //   const Route* route = index.FindRoute(host, path);
@@ -24,18 +24,20 @@
 
   const ServingConfig& config() const { return this->published; }
 
-  // The route of that host whose prefix begins `path` and is longest, or null.
-  // `host` may carry a port and any case; `path` is without a query.
+  // The route of the host with the longest path prefix that `path` begins with, or null.
+  // `host` may have a port and is compared without regard to case; `path` has no query.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
 
-  // The account that holds the key, or null.
+  // The account that has the key, or null.
   const ClientAccount* FindAccount(std::string_view api_key) const;
 
+  // The service of that name, or null.
   const Service* FindService(const std::string& name) const;
 
  private:
   ServingConfig published;
-  // Host and prefix, joined, to the route's place.
+  // The maps hold indices into the vectors of `published`.  The key of a route is its host name
+  // followed by its path prefix.
   std::unordered_map<std::string, size_t> route_by_prefix;
   std::unordered_map<std::string, size_t> account_by_key;
   std::unordered_map<std::string, size_t> service_by_name;
--- a/src/serving/departed_engines.h
+++ b/src/serving/departed_engines.h
@@ -1,13 +1,14 @@
-// Lives of engines that have left, so that nothing older brings them back.
+// Remembers incarnations of engines that have left, so that an older list does not restore them.
 //
-// That an engine leaves is acknowledged once and binds from then on.  A list that is read
-// later may be older, where the store has come back from a copy: then it still has the entry.
+// An engine that leaves is acknowledged once and must get no work from then on.  A list that is
+// read later may still have the engine's entry, if the store has returned from an older copy.
 //
-//   Departures departures;
-//   departures.Note(record.Incarnation(), now);
-//   if (departures.Has(record.Incarnation(), now)) ...
+//   DepartedEngines departed;
+//   departed.Add(record.Incarnation(), now);
+//   if (departed.Contains(record.Incarnation(), now)) ...
 //
-// Memory is bounded: kMost lives, of which the earliest go first, each for kKeptFor.
+// Memory is bounded: each incarnation is kept for kRetention, and at most kMaxEntries are kept; the
+// oldest are dropped first.
 
 #ifndef GULLWARD_SERVING_DEPARTED_ENGINES_H_
 #define GULLWARD_SERVING_DEPARTED_ENGINES_H_
@@ -23,36 +24,39 @@
 
 class DepartedEngines {
  public:
-  // A store returns with a copy that is seconds old, after an outage of seconds.
+  // The store returns with a copy that is seconds old, after an outage of seconds.
   static constexpr Duration kRetention = std::chrono::minutes(2);
-  // 100 bytes each; a third of 10,000 engines may be replaced in that time.
+  // Each entry takes about 100 bytes.  A third of 10,000 engines may be replaced within
+  // kRetention.
   static constexpr size_t kMaxEntries = 4096;
 
   void Add(const std::string& incarnation, Time now) {
-    this->Forget(now);
-    if (this->lives.size() >= kMaxEntries) this->ForgetFirst();
-    bool is_new = this->lives.try_emplace(incarnation, now).second;
+    this->DropExpired(now);
+    if (this->departed_at.size() >= kMaxEntries) this->DropOldest();
+    bool is_new = this->departed_at.try_emplace(incarnation, now).second;
     if (is_new) this->order.emplace_back(now, incarnation);
   }
 
   bool Contains(const std::string& incarnation, Time now) const {
-    auto found = this->lives.find(incarnation);
-    return found != this->lives.end() && now - found->second < kRetention;
+    auto found = this->departed_at.find(incarnation);
+    return found != this->departed_at.end() && now - found->second < kRetention;
   }
 
-  size_t size() const { return this->lives.size(); }
+  size_t size() const { return this->departed_at.size(); }
 
  private:
-  void Forget(Time now) {
+  void DropExpired(Time now) {
     while (!this->order.empty() && now - this->order.front().first >= kRetention)
-      this->ForgetFirst();
+      this->DropOldest();
   }
-  void ForgetFirst() {
-    this->lives.erase(this->order.front().second);
+  void DropOldest() {
+    this->departed_at.erase(this->order.front().second);
     this->order.pop_front();
   }
 
-  std::unordered_map<std::string, Time> lives;
+  // By incarnation.
+  std::unordered_map<std::string, Time> departed_at;
+  // The entries of `departed_at`, oldest first.
   std::deque<std::pair<Time, std::string>> order;
 };
 
--- a/src/serving/engine_costs.cc
+++ b/src/serving/engine_costs.cc
@@ -1,4 +1,4 @@
-// The figures are from the users' sheets and from the published speeds of engines.
+// The constants come from the users' sheets and from the published speeds of engines.
 
 #include "serving/engine_costs.h"
 
@@ -9,65 +9,68 @@
 namespace gullward {
 namespace {
 
-// What a request is worth, by its size: the users' sheets give 1.3 for 5,000
-// tokens, 3.1 for 45,000 and 22 for 210,000.
-constexpr double kWorthBase = 0.8;
-constexpr double kWorthPerToken = 1e-4;
-// Predictions run this much short: a pass begins before the request arrives.
+// The value of a request is linear in the length of its prompt.  The users' sheets give 1.3 for
+// 5,000 tokens, 3.1 for 45,000 and 22 for 210,000.
+constexpr double kValueBase = 0.8;
+constexpr double kValuePerToken = 1e-4;
+// The share of the tolerated pause at which lateness begins.  Predicted pauses are too short,
+// since a pass begins before the request arrives.
 constexpr double kPauseSafety = 0.85;
-// Share of the aim over which lateness rises from nothing to whole.
+// Share of the objective over which lateness rises from 0 to 1.
 constexpr double kLatenessSlope = 0.5;
-// Callers give up a stream that pauses for two seconds, and come back with the
-// whole of it.
-constexpr double kCallersLeaveMs = 1700;
-// Share of the aim from which a first event is taken for late: it has more to wait
-// for than is known, such as work that others sent in the same instant.
-constexpr double kWaitSafety = 0.6;
-// The same for prompts that take longer to read than one pass: others that come right
-// after are read first, so that under bursts of them a first event may take twice the
-// predicted time.  More engines then read each of them.
+// A pause from which on a stream's whole value counts as lost.  Callers give up a stream that
+// pauses for two seconds and then send the whole request again.
+constexpr double kMaxToleratedPauseMs = 1700;
+// Share of the objective from which a first event counts as late.  The true wait is longer than
+// the known load suggests, for instance because of work that other gateways have just sent.
+constexpr double kFirstEventSafety = 0.6;
+// The same for prompts that take longer to read than one pass.  Prompts that arrive right
+// after are read first, so in a burst a first event may take twice the predicted time.  The lower
+// share also makes more engines read each of these prompts.
 constexpr double kLongReadSafety = 0.3;
-// Small preferences, that decide among equals only: for an early first event, for a
-// place in the shared order, for each reader.
-constexpr double kWaitWeight = 0.05;
+// Small preferences, which decide among engines of equal cost only: for an early first event, for
+// a position in the shared order, and for fewer readers.
+constexpr double kEarlyEventWeight = 0.05;
 constexpr double kRankWeight = 0.15;
 constexpr double kReaderCost = 0.01;
-// Slots kept free of packing, since the others' newest work is not known yet.
+// Slots that packing leaves free, since the newest work of other gateways is not known yet.
 constexpr int kSpareSlots = 2;
-// Cost of each request beyond that, as a share of the request's worth.
-constexpr double kCrowdWeight = 0.2;
-// An engine with so much to read counts as busy.
-constexpr double kBusyReadingMs = 1000;
-// Share of an engine's memory that is given out: answers grow while they run.
+// Cost of each request that uses one of these slots or waits for a slot, as a share of its
+// value.
+constexpr double kCrowdingWeight = 0.2;
+// An engine with this much reading left counts as fully used.
+constexpr double kFullUseReadingMs = 1000;
+// Share of an engine's memory that is assigned to requests; the rest is left free because
+// answers grow while they run.
 constexpr double kMemoryShare = 0.95;
 
-// What the streams of an engine lose if their pause becomes `pause_ms`.
-double HarmToStreams(const EngineLoad& load, double pause_ms) {
-  double harm = 0;
+// The value that the streams on an engine lose if their pause becomes `pause_ms`.
+double StreamLoss(const EngineLoad& load, double pause_ms) {
+  double loss = 0;
   for (const PauseClass& streams : load.streams) {
     double mean_context = streams.context_tokens / streams.streams;
-    double worth = RequestValue(mean_context) * streams.streams;
-    double late = kLateLoss * Lateness(pause_ms, streams.pause_ms, kPauseSafety);
-    harm += worth * (pause_ms > kCallersLeaveMs ? 1 : late);
+    double value = RequestValue(mean_context) * streams.streams;
+    double late_loss = kLateLoss * Lateness(pause_ms, streams.pause_ms, kPauseSafety);
+    loss += value * (pause_ms > kMaxToleratedPauseMs ? 1 : late_loss);
   }
-  return harm;
+  return loss;
 }
 
-// The cost of memory that the engine has not got: it would put the request, or
-// another one, back to its start.
+// The cost of a request for which the engine lacks memory.  The engine would restart this request
+// or another one from its beginning, so the cost is the value of the request.
 double MemoryCost(const EngineSpeed& speed, const Candidate& candidate, double tokens,
-                  double worth) {
+                  double value) {
   if (speed.memory_tokens <= 0) return 0;
-  double most = kMemoryShare * speed.memory_tokens;
-  // More than even an empty engine has: not to be chosen at any price.
-  if (tokens > most) return std::numeric_limits<double>::infinity();
-  return candidate.load.context_tokens + tokens > most ? worth : 0;
+  double usable = kMemoryShare * speed.memory_tokens;
+  // Even an empty engine does not have this much memory, so it is never chosen.
+  if (tokens > usable) return std::numeric_limits<double>::infinity();
+  return candidate.load.context_tokens + tokens > usable ? value : 0;
 }
 
-// The cost of taking one of the last free slots, or none.
-double CrowdCost(const Candidate& candidate, double worth) {
-  int over = candidate.load.requests + 1 - std::max(candidate.slots - kSpareSlots, 1);
-  return over > 0 ? kCrowdWeight * worth * over : 0;
+// The cost of taking one of the last free slots, or of waiting for a slot.
+double CrowdingCost(const Candidate& candidate, double value) {
+  int excess = candidate.load.requests + 1 - std::max(candidate.slots - kSpareSlots, 1);
+  return excess > 0 ? kCrowdingWeight * value * excess : 0;
 }
 
 }  // namespace
@@ -85,7 +88,7 @@
   return step * speed.steps_per_pass;
 }
 
-double RequestValue(double tokens) { return kWorthBase + kWorthPerToken * tokens; }
+double RequestValue(double tokens) { return kValueBase + kValuePerToken * tokens; }
 
 double Lateness(double ms, double aim, double safety) {
   if (aim <= 0) return 0;
@@ -94,32 +97,32 @@
 
 double CostToOthers(const EngineSpeed& speed, const Candidate& candidate, double reading_ms) {
   double pass_ms = WritingPassMs(speed, candidate.load) + candidate.load.RemainingReadingMs();
-  double before = HarmToStreams(candidate.load, pass_ms);
-  return HarmToStreams(candidate.load, pass_ms + reading_ms) - before;
+  double loss_before = StreamLoss(candidate.load, pass_ms);
+  return StreamLoss(candidate.load, pass_ms + reading_ms) - loss_before;
 }
 
 double StreamDelayCost(const EngineLoad& load, double reading_ms) {
-  double hold_up = 0;
+  double delay = 0;
   for (const PauseClass& streams : load.streams) {
-    double worth = RequestValue(streams.context_tokens / streams.streams) * streams.streams;
-    hold_up += worth * reading_ms / std::max(streams.pause_ms, 1.0);
+    double value = RequestValue(streams.context_tokens / streams.streams) * streams.streams;
+    delay += value * reading_ms / std::max(streams.pause_ms, 1.0);
   }
-  return hold_up;
+  return delay;
 }
 
 double SlotWaitMs(const EngineSpeed& speed, const Candidate& candidate) {
-  int over = candidate.load.requests + 1 - candidate.slots;
-  if (over <= 0) return 0;
+  int excess = candidate.load.requests + 1 - candidate.slots;
+  if (excess <= 0) return 0;
   double step = speed.step_ms + speed.step_ms_per_request * candidate.slots +
                 speed.step_ms_per_thousand_context * candidate.load.context_tokens / 1000;
   double answer_ms = speed.usual_answer_tokens * step;
-  return over * answer_ms / candidate.slots;
+  return excess * answer_ms / candidate.slots;
 }
 
 double FirstEventMs(const EngineSpeed& speed, const Candidate& candidate, double reading_ms) {
   double pass_ms = WritingPassMs(speed, candidate.load);
-  // Half of a running pass, what waits to be read, the reading, and the steps
-  // that come before the event of its own.
+  // The sum of: half of the running pass, the wait for a slot, the reading that is queued, the
+  // reading of this prompt, and the decode steps before the first event.
   double wait_ms = candidate.load.writers > 0 ? pass_ms / 2 : 0;
   double steps_ms = std::max(pass_ms, speed.steps_per_pass * speed.step_ms);
   return wait_ms + SlotWaitMs(speed, candidate) + candidate.load.RemainingReadingMs() + reading_ms +
@@ -130,53 +133,55 @@
   double pass_ms = speed.step_ms * speed.steps_per_pass;
   double reading_ms = ReadingMs(speed, demand.prompt_tokens);
   double passes = std::ceil(reading_ms / std::max(pass_ms, 1.0));
-  return static_cast<int>(std::clamp<double>(passes, 1, kMostReaders));
+  return static_cast<int>(std::clamp<double>(passes, 1, kMaxReaders));
 }
 
 double CostOfWaiting(const EngineSpeed& speed, const Demand& demand, double first_event_ms) {
-  bool long_read = UsefulReaders(speed, demand) > 1;
-  double safety = long_read ? kLongReadSafety : kWaitSafety;
-  double late = Lateness(first_event_ms, demand.objective_ms, safety);
-  double small = kWaitWeight * first_event_ms / std::max(demand.objective_ms, 1.0);
-  return kLateLoss * RequestValue(demand.prompt_tokens) * late + small;
+  bool is_long_read = UsefulReaders(speed, demand) > 1;
+  double safety = is_long_read ? kLongReadSafety : kFirstEventSafety;
+  double lateness = Lateness(first_event_ms, demand.objective_ms, safety);
+  double preference = kEarlyEventWeight * first_event_ms / std::max(demand.objective_ms, 1.0);
+  return kLateLoss * RequestValue(demand.prompt_tokens) * lateness + preference;
 }
 
 double CostAsMain(const EngineSpeed& speed, const Candidate& candidate, const Demand& demand,
                   const Placement& shares) {
-  double worth = RequestValue(demand.prompt_tokens);
-  double cost = kFailureWeight * worth * candidate.failure_rate;
-  cost += CrowdCost(candidate, worth);
-  cost += MemoryCost(speed, candidate, shares.memory_tokens, worth);
+  double value = RequestValue(demand.prompt_tokens);
+  double cost = kFailureWeight * value * candidate.failure_rate;
+  cost += CrowdingCost(candidate, value);
+  cost += MemoryCost(speed, candidate, shares.memory_tokens, value);
   cost += candidate.same_data_centre ? 0 : kOtherDataCentreCost;
-  // Vast prompts go to the far end of the order that shorts fill from the front.
-  bool vast = ReadingMs(speed, demand.prompt_tokens) > demand.pause_ms / 2;
-  cost += kRankWeight * (vast ? 1 - candidate.rank : candidate.rank);
-  // What is being read there now will have been read when this request writes.
+  // Very long prompts go to the end of the order that short prompts fill from the front.
+  bool is_very_long = ReadingMs(speed, demand.prompt_tokens) > demand.pause_ms / 2;
+  cost += kRankWeight * (is_very_long ? 1 - candidate.rank : candidate.rank);
+  // Only the writing time counts: the prompts being read there now will have been read by the
+  // time this request writes.
   double own_pause = WritingPassMs(speed, candidate.load);
-  cost += kLateLoss * worth * Lateness(own_pause, demand.pause_ms, kPauseSafety);
+  cost += kLateLoss * value * Lateness(own_pause, demand.pause_ms, kPauseSafety);
   return cost + CostToOthers(speed, candidate, shares.part_reading_ms);
 }
 
-double CostAsReader(const EngineSpeed& speed, const Candidate& candidate, double worth,
+double CostAsReader(const EngineSpeed& speed, const Candidate& candidate, double value,
                     const Placement& shares) {
   double cost = kReaderCost + kRankWeight * (1 - candidate.rank);
-  cost += kFailureWeight * worth * candidate.failure_rate;
-  if (shares.spreads_memory) cost += MemoryCost(speed, candidate, shares.memory_tokens, worth);
+  cost += kFailureWeight * value * candidate.failure_rate;
+  if (shares.spreads_memory) cost += MemoryCost(speed, candidate, shares.memory_tokens, value);
   return cost + CostToOthers(speed, candidate, shares.part_reading_ms);
 }
 
-double Busy(const std::vector<Candidate>& candidates) {
+double MeanUtilization(const std::vector<Candidate>& candidates) {
   double sum = 0;
   for (const Candidate& candidate : candidates) {
     double slots = static_cast<double>(candidate.load.requests) / std::max(candidate.slots, 1);
-    double reading = candidate.load.RemainingReadingMs() / kBusyReadingMs;
+    double reading = candidate.load.RemainingReadingMs() / kFullUseReadingMs;
     sum += std::min(std::max(slots, reading), 1.0);
   }
   return sum / static_cast<double>(std::max<size_t>(candidates.size(), 1));
 }
 
 double EngineSeconds(const EngineSpeed& speed, const Demand& demand) {
-  // A step is made for all who write, so one more costs only what it adds to each.
+  // One decode step serves all requests that write, so a request costs only the time that it
+  // adds to each step.
   double added_per_step =
       speed.step_ms_per_request + speed.step_ms_per_thousand_context * demand.prompt_tokens / 1000;
   double writing_ms = speed.usual_answer_tokens * added_per_step;
--- a/src/serving/engine_costs.h
+++ b/src/serving/engine_costs.h
@@ -1,9 +1,8 @@
-// The cost model of placement.h: what a request costs on an engine, in units of a
-// short request's worth.
+// The cost model of placement.h: what a request costs on an engine.
 //
-// A cost is worth that is lost.  Each function below prices one cause of loss:
-// the request waits, its stream pauses, other streams pause, memory or slots are
-// short, the engine fails.  placement.cc adds them up and compares.
+// A cost is a loss of value, and its unit is the value of a short request.  Each function below
+// prices one cause of loss: the request waits, its own stream pauses, other streams pause, memory
+// or slots are short, or the engine fails.  placement.cc adds the costs up and compares them.
 
 #ifndef GULLWARD_SERVING_ENGINE_COSTS_H_
 #define GULLWARD_SERVING_ENGINE_COSTS_H_
@@ -16,56 +15,57 @@
 
 namespace gullward {
 
-// Share of the worth that a late answer loses (both users' sheets: three quarters).
+// Share of its value that an answer loses by being late (three quarters, by the sheets of both
+// users).
 inline constexpr double kLateLoss = 0.75;
-// Small preferences, that decide among equals only: here, for the own data centre.
+// A small preference for the own data centre, which decides among engines of equal cost only.
 inline constexpr double kOtherDataCentreCost = 0.01;
-// An engine that always fails costs as much as the request is worth, and more.
+// Multiplies the failure rate.  An engine that always fails costs more than the whole value of
+// the request.
 inline constexpr double kFailureWeight = 2.0;
 
-// What a request with a prompt of so many tokens is worth.
+// The value of a request with a prompt of `tokens` tokens.
 double RequestValue(double tokens);
 
-// How late `ms` is against `aim` (milliseconds too), from 0 (in time) to 1, with a
-// slope around the aim since both are estimates.  Lateness begins at the share
-// `safety` of the aim.
+// How late `ms` is for an objective of `aim` milliseconds, from 0 (in time) to 1.  Lateness
+// begins at the share `safety` of the objective and rises linearly from there, since both figures
+// are estimates.
 double Lateness(double ms, double aim, double safety);
 
-// The cost of adding `reading_ms` to one engine, for the streams already there.
+// The cost to the streams on an engine of `reading_ms` more reading.
 double CostToOthers(const EngineSpeed& speed, const Candidate& candidate, double reading_ms);
 
-// How much streams are held up by so much reading: their worth times the reading's
-// share of the pause that they tolerate.  No loss yet, but they end later and are there
-// for the next reading too.
+// How much `reading_ms` of reading delays the streams on an engine: the sum of their values, each
+// times the ratio of the reading to the pause that the stream tolerates.  A delay is not a loss by
+// itself, but the streams end later and are still there at the next reading.
 double StreamDelayCost(const EngineLoad& load, double reading_ms);
 
-// Milliseconds that a newcomer waits for a slot: they come free one by one, as
-// answers end.
+// Milliseconds that a new request waits for a slot.  Slots become free one by one, as answers
+// end.
 double SlotWaitMs(const EngineSpeed& speed, const Candidate& candidate);
 
-// Milliseconds to the first event of a request of which the candidate reads
-// `reading_ms`.
+// Milliseconds to the first event of a request if the candidate reads for `reading_ms` of it.
 double FirstEventMs(const EngineSpeed& speed, const Candidate& candidate, double reading_ms);
 
-// What it costs the request itself to wait so long for its first event.
+// The cost to the request itself of a first event after `first_event_ms`.
 double CostOfWaiting(const EngineSpeed& speed, const Demand& demand, double first_event_ms);
 
-// How many engines, at most, a prompt gains by being read in parts: one that is read
-// within a pass gains nothing.
+// The maximum number of engines that are useful for reading a prompt in parts.  It is 1 for a
+// prompt that is read within one pass.
 int UsefulReaders(const EngineSpeed& speed, const Demand& demand);
 
-// The cost of running the request itself on a candidate, but for its waiting.
-// `shares` says how the reading and the memory are divided.
+// The cost of running the request itself on a candidate, without CostOfWaiting.  `shares` states
+// how the reading and the memory are divided.
 double CostAsMain(const EngineSpeed& speed, const Candidate& candidate, const Demand& demand,
                   const Placement& shares);
 
-// The cost of a candidate's reading a part of a prompt of this worth for another
-// engine, but for the request's waiting.
-double CostAsReader(const EngineSpeed& speed, const Candidate& candidate, double worth,
+// The cost of a candidate's reading a part of a prompt for another engine, without CostOfWaiting.
+// `value` is the value of the request.
+double CostAsReader(const EngineSpeed& speed, const Candidate& candidate, double value,
                     const Placement& shares);
 
-// How busy engines are, 0 to 1, on the mean.
-double Busy(const std::vector<Candidate>& candidates);
+// The mean utilization of the candidates, 0 to 1.
+double MeanUtilization(const std::vector<Candidate>& candidates);
 
 // Engine time that a request takes, in seconds.
 double EngineSeconds(const EngineSpeed& speed, const Demand& demand);
--- a/src/serving/engine_directory.cc
+++ b/src/serving/engine_directory.cc
@@ -1,4 +1,4 @@
-// engine_directory.h tells the rules.
+// A missing engine that is kept for its grace is marked by Entry::remove_at; Expire removes it.
 
 #include "serving/engine_directory.h"
 
@@ -11,24 +11,25 @@
 
 namespace {
 
-// What is announced holds for good: a life's name is never used again.
-constexpr Time kForGood{};
+// The time passed for `announced`, whose entries do not expire: the name of an incarnation is
+// never used again.
+constexpr Time kNoExpiry{};
 
 }  // namespace
 
-// No id has an "@" (platform/documents.h).
+// Ids contain no "@" (platform/documents.h).
 std::string EngineRecord::Incarnation() const {
   return this->started_at_ms == 0 ? this->id : absl::StrCat(this->id, "@", this->started_at_ms);
 }
 
 void EngineDirectory::Update(const EngineRecord& record) {
   const EngineRecord* known = this->Find(record.id);
-  bool is_late = known != nullptr && record.started_at_ms < known->started_at_ms;
-  std::string life = record.Incarnation();
-  if (record.draining) this->announced.Add(life, kForGood);
-  bool undoes_leaving = !record.draining && this->announced.Contains(life, kForGood);
-  if (is_late || undoes_leaving) return;
-  this->doubted.erase(record.id);
+  bool is_outdated = known != nullptr && record.started_at_ms < known->started_at_ms;
+  std::string incarnation = record.Incarnation();
+  if (record.draining) this->announced.Add(incarnation, kNoExpiry);
+  bool undoes_leaving = !record.draining && this->announced.Contains(incarnation, kNoExpiry);
+  if (is_outdated || undoes_leaving) return;
+  this->unconfirmed.erase(record.id);
   bool is_same = known != nullptr && *known == record;
   if (!is_same) this->changes += 1;
   this->engines[record.id] = Entry{record, std::nullopt};
@@ -41,19 +42,19 @@
 }
 
 void EngineDirectory::Remove(const std::string& id, Time now, Time keep_until) {
-  this->doubted.erase(id);
+  this->unconfirmed.erase(id);
   auto found = this->engines.find(id);
   if (found == this->engines.end()) return;
   bool keep = keep_until > now && !found->second.record.draining;
   if (!keep) {
-    this->departures.Add(found->second.record.Incarnation(), now);
+    this->departed.Add(found->second.record.Incarnation(), now);
     this->engines.erase(found);
     this->changes += 1;
     return;
   }
-  if (found->second.gone_at) return;
-  found->second.gone_at = keep_until;
-  this->next_gone = std::min(this->next_gone, keep_until);
+  if (found->second.remove_at) return;
+  found->second.remove_at = keep_until;
+  this->next_removal = std::min(this->next_removal, keep_until);
 }
 
 void EngineDirectory::Replace(const std::vector<EngineRecord>& records, Time now, Time keep_until) {
@@ -63,11 +64,11 @@
 
 void EngineDirectory::ReplaceFromStaleList(const std::vector<EngineRecord>& records, Time now,
                                            Time settled_at) {
-  this->doubted.clear();
-  this->doubted_until = settled_at;
+  this->unconfirmed.clear();
+  this->unconfirmed_until = settled_at;
   for (const EngineRecord& record : records) {
-    if (this->departures.Contains(record.Incarnation(), now)) {
-      this->doubted[record.id] = record;
+    if (this->departed.Contains(record.Incarnation(), now)) {
+      this->unconfirmed[record.id] = record;
     } else {
       this->Update(record);
     }
@@ -86,22 +87,23 @@
   for (const std::string& id : missing) this->Remove(id, now, keep_until);
 }
 
-// An engine whose entry had only lapsed does not write what stands there already.
-void EngineDirectory::TakeDoubted(Time now) {
-  if (this->doubted.empty() || now < this->doubted_until) return;
-  for (const auto& [id, record] : std::exchange(this->doubted, {})) this->Update(record);
+// A departed incarnation that is still on the settled list is running: its entry had only lapsed,
+// and the engine does not write an entry that is already in the list.
+void EngineDirectory::AddUnconfirmed(Time now) {
+  if (this->unconfirmed.empty() || now < this->unconfirmed_until) return;
+  for (const auto& [id, record] : std::exchange(this->unconfirmed, {})) this->Update(record);
 }
 
 void EngineDirectory::Expire(Time now) {
-  this->TakeDoubted(now);
-  if (now < this->next_gone) return;
-  this->next_gone = Time::max();
+  this->AddUnconfirmed(now);
+  if (now < this->next_removal) return;
+  this->next_removal = Time::max();
   for (auto it = this->engines.begin(); it != this->engines.end();) {
-    const std::optional<Time>& gone_at = it->second.gone_at;
-    bool gone = gone_at && *gone_at <= now;
+    const std::optional<Time>& remove_at = it->second.remove_at;
+    bool gone = remove_at && *remove_at <= now;
     if (gone) this->changes += 1;
-    if (gone) this->departures.Add(it->second.record.Incarnation(), now);
-    if (gone_at && !gone) this->next_gone = std::min(this->next_gone, *gone_at);
+    if (gone) this->departed.Add(it->second.record.Incarnation(), now);
+    if (remove_at && !gone) this->next_removal = std::min(this->next_removal, *remove_at);
     it = gone ? this->engines.erase(it) : std::next(it);
   }
 }
--- a/src/serving/engine_directory.h
+++ b/src/serving/engine_directory.h
@@ -1,19 +1,17 @@
-// The engines that the platform lists, and which of them may get work.
+// Holds the engines that the platform lists, and which of them may get work.
 //
-// The list comes as whole pages at first and as single changes afterwards.  An
-// engine that says it is leaving gets nothing new from that moment, also where its entry lapses
-// and comes back without that word.  One that
-// drops off the list is gone too, except right after the list itself was out of
-// reach: then entries of living engines lapse and come back a moment later, so
-// an engine is kept that long on its old record.
+// The list arrives first as whole pages and then as single changes.
 //
-// After the store's return from an older copy the list is older than what is known
-// (serving/store_epoch.h): lives that have left stay away, and engines that it lacks are kept,
-// until the engines have written again.
-//
-// An engine may start again under its id.  The later life replaces the earlier one
-// whole, and never the other way round, though the list and its copy may be read in
-// any order.
+//   - An engine whose entry says that it is leaving (`draining`) gets no new work from then on,
+//     even if its entry lapses and returns without that flag.
+//   - An engine that drops off the list is removed at once, except shortly after the list itself
+//     was unreachable: then entries of running engines lapse and return a moment later, so such
+//     an engine is kept on its last record until KeepUntil.
+//   - After the store has returned from an older copy (serving/store_epoch.h), the list may be
+//     older than this directory.  Until the engines have written their entries again,
+//     incarnations that have left stay removed and engines missing from the list are kept.
+//   - An engine may start again under its id.  A later incarnation replaces an earlier one, never
+//     the reverse, although the list and its copy may be read in any order.
 //
 //   EngineDirectory directory;
 //   directory.Update(record);
@@ -36,23 +34,25 @@
 
 namespace gullward {
 
-// One life of one engine.
+// One incarnation of an engine: the time from one start of its process to its end.
 struct EngineRecord {
-  // Names the engine; it may start again under the same one.
+  // Names the engine.  An engine that starts again keeps its id.
   std::string id;
   std::string service;
   SocketAddress address;
   std::string data_centre;
+  // Requests that the engine runs at a time.
   int slots = 1;
-  // It is leaving and takes no new work.
+  // The engine is leaving and takes no new work.
   bool draining = false;
-  // When this life began, in milliseconds of Unix time by the engine's own clock: only
-  // good for telling two lives of one id apart, the later one having more.  0: not said.
+  // When this incarnation started, in milliseconds of Unix time by the engine's own clock; 0 if
+  // not stated.  Only good for comparing incarnations of one id: the later one has the higher
+  // value.
   int64_t started_at_ms = 0;
 
-  // Names this life alone.  All that is believed of an engine or kept for it (work,
-  // health, connections, the words of peers) is kept under this, so that what is said
-  // of an earlier life, however late, changes nothing of the next one.
+  // The unique name of this incarnation.  All state about an engine (work, health, connections,
+  // reports of peers) is keyed by this name, so that a late message about an earlier incarnation
+  // does not affect the next one.
   std::string Incarnation() const;
 
   bool operator==(const EngineRecord&) const = default;
@@ -60,80 +60,80 @@
 
 class EngineDirectory {
  public:
-  // How long after the list's return an engine that lapsed meanwhile is kept.  The
-  // platform says that the living are back in about two seconds; an engine that
-  // really left must be left alone two seconds after the list said so, and both
-  // the list's return and its word reach us late by a few tenths.
+  // How long after the list's return an engine that lapsed in the meantime is kept.  By the
+  // platform's statement running engines are listed again within about two seconds.  An engine
+  // that really left must get no work two seconds after the list said so, and both the list's
+  // return and the removal arrive here a few tenths of a second late.
   static constexpr Duration kLapseGrace = milliseconds(1400);
 
-  // Until when removals that are read after the list's return are not believed.
+  // The time until which removals that are read after the list's return are not applied.
   static Time KeepUntil(Time list_regained_at) { return list_regained_at + kLapseGrace; }
 
-  // Takes one entry.  One of an earlier life than the known one is dropped, as is one that
-  // would undo the leaving of its life.
+  // Adds or replaces one entry.  An entry of an earlier incarnation than the stored one is
+  // ignored, as is one that would undo the leaving of its incarnation.
   void Update(const EngineRecord& record);
-  // Removes an engine, at `keep_until` if that is later than now.
+  // Removes an engine now, or at `keep_until` if that is later and the engine is not draining.
   void Remove(const std::string& id, Time now, Time keep_until);
 
-  // Takes a whole list: what is not on it is removed.
+  // Takes a whole list: updates what is on it and removes what is not, as Update and Remove do.
   void Replace(const std::vector<EngineRecord>& records, Time now, Time keep_until);
 
-  // Takes a whole list of which it is not known whether it is as old as a copy from which the
-  // store has returned.  At `settled_at` what it says will have been put right.
+  // Takes a whole list that may be from an older copy, to which the store has returned.  From
+  // `settled_at` on, the engines have written their current entries again.
   void ReplaceFromStaleList(const std::vector<EngineRecord>& records, Time now, Time settled_at);
 
-  // A life that is not what its address once was: gone at once.  A later life of the
-  // same id stays.
+  // Removes an incarnation that was found not to be at its address any more.  A later
+  // incarnation of the same id stays.
   void RemoveIncarnation(const EngineRecord& record);
 
-  // Drops the engines that are missing from the list and whose time has come, and takes those
-  // that an older list had, that had left before, and that are listed still.
+  // Removes the engines that are missing from the list and whose grace is over.  Adds the
+  // departed incarnations that a stale list had and that are still listed when it has settled.
   void Expire(Time now);
 
-  // All that may get new work, in the order of their ids.
+  // All engines that may get new work, ordered by id.
   std::vector<const EngineRecord*> Usable() const;
-  // Those of one service, as of now.
+  // The same for one service, after Expire(now).
   std::vector<const EngineRecord*> Usable(const std::string& service, Time now);
 
-  // Rises with every change of what may get work.
+  // Increases with every change of the engines.
   uint64_t revision() const { return this->changes; }
 
   const EngineRecord* Find(const std::string& id) const;
-  // The life of that name (EngineRecord::Incarnation), if it is the one that is known.
+  // The record whose Incarnation() is `incarnation`, or null.
   const EngineRecord* FindIncarnation(const std::string& incarnation) const;
 
-  // Whether this very life is the one that is known.
+  // Whether the stored record of this id is of this incarnation.
   bool IsListed(const EngineRecord& record) const;
 
-  // The names of all lives that are known.
+  // The names of all stored incarnations.
   std::set<std::string> Incarnations() const;
 
-  // All that are listed, in the order of their ids.
+  // All engines, ordered by id.
   std::vector<EngineRecord> Listed() const;
 
   size_t size() const { return this->engines.size(); }
 
  private:
   void RemoveMissing(const std::vector<EngineRecord>& listed, Time now, Time keep_until);
-  void TakeDoubted(Time now);
+  void AddUnconfirmed(Time now);
 
   struct Entry {
     EngineRecord record;
-    // Set while the engine is missing from the list: when it counts as gone.
-    std::optional<Time> gone_at;
+    // When the engine is removed; set while it is missing from the list.
+    std::optional<Time> remove_at;
   };
 
   std::map<std::string, Entry> engines;
-  DepartedEngines departures;
-  // Lives that the list has said to be leaving.
+  DepartedEngines departed;
+  // Incarnations that the list has said to be leaving.
   DepartedEngines announced;
-  // Lives on an older list that had left, by id, and when they are believed after all.
-  std::map<std::string, EngineRecord> doubted;
-  Time doubted_until{};
+  // Departed incarnations that a stale list had, by id.  Those that are left at
+  // `unconfirmed_until` are added to the engines.
+  std::map<std::string, EngineRecord> unconfirmed;
+  Time unconfirmed_until{};
   uint64_t changes = 0;
-  // When the next engine that is missing from the list counts as gone; never: the end of
-  // time.
-  Time next_gone = Time::max();
+  // The earliest remove_at of all entries; Time::max() if there is none.
+  Time next_removal = Time::max();
 };
 
 }  // namespace gullward
--- a/src/serving/engine_health.h
+++ b/src/serving/engine_health.h
@@ -1,13 +1,14 @@
-// What this process believes of an engine from its own attempts.
+// Records the successes and failures of one engine, as seen by this gateway's own attempts.
 //
-// The platform's list says who should be there; only an answer shows who works.
-// An engine that fails a few times in a row is set aside for a while that
-// doubles with each further failure; then single requests try it again.  One
-// that fails now and then gets a penalty that fades as answers come.
+// The platform's list states which engines should be running; only answers show which ones work.
+// An engine that fails several times in a row is set aside: it gets no work for a while, and the
+// while doubles with each further failure.  After it, single requests try the engine again.  An
+// engine that fails now and then has a failure rate, which makes it more expensive to choose
+// (engine_costs.h) and decays with successes and with time.
 //
 //   EngineHealth health;
 //   health.AddFailure(now);
-//   if (health.IsOut(now)) ...
+//   if (health.IsSetAside(now)) ...
 
 #ifndef GULLWARD_SERVING_ENGINE_HEALTH_H_
 #define GULLWARD_SERVING_ENGINE_HEALTH_H_
@@ -23,22 +24,23 @@
  public:
   // Failures in a row after which an engine is set aside.
   static constexpr int kFailuresToSetAside = 2;
+  // For how long an engine is set aside at first.
   static constexpr Duration kFirstPause = milliseconds(600);
-  // Engines come back from crashes within seconds; waiting longer loses them.
+  // Engines are back from crashes within seconds; a longer pause would leave them unused.
   static constexpr Duration kMaxPause = seconds(5);
-  // The pause doubles so many times at the most: from 0.6 s past the longest.
-  static constexpr int kMostDoublings = 4;
-  // In which the failure rate halves without any answer.
+  // Maximum number of times that the pause doubles: from 0.6 s to beyond kMaxPause.
+  static constexpr int kMaxDoublings = 4;
+  // Time in which the failure rate halves if no answers come.
   static constexpr Duration kHalfLife = seconds(2);
-  // How long a success of our own outweighs the others' word: about as long as
-  // their word holds.
-  static constexpr Duration kOwnWordLasts = milliseconds(700);
+  // For how long after a success of this gateway the reports of peers against the engine are
+  // ignored: about as long as such a report is valid.
+  static constexpr Duration kOwnSuccessPrecedence = milliseconds(700);
   // Weight of the newest answer in the failure rate.
   static constexpr double kNewestWeight = 0.1;
 
   void AddSuccess(Time now) {
     this->failures_in_row = 0;
-    this->out_until = Time{};
+    this->set_aside_until = Time{};
     this->succeeded_at = now;
     this->failure_rate = (1 - kNewestWeight) * this->FailureRate(now);
     this->rated_at = now;
@@ -50,25 +52,27 @@
     this->failure_rate = rate + kNewestWeight * (1 - rate);
     this->rated_at = now;
     if (this->failures_in_row < kFailuresToSetAside) return;
-    int doublings = std::min(this->failures_in_row - kFailuresToSetAside, kMostDoublings);
-    this->out_until = now + std::min(kFirstPause * (1 << doublings), kMaxPause);
+    int doublings = std::min(this->failures_in_row - kFailuresToSetAside, kMaxDoublings);
+    this->set_aside_until = now + std::min(kFirstPause * (1 << doublings), kMaxPause);
   }
 
-  // A failure that leaves no doubt, since the engine was never reached or others
-  // have set it aside: it is set aside without a second try.
+  // Records a failure that sets the engine aside at once: the engine could not be reached, or
+  // peers have set it aside already.
   void AddCertainFailure(Time now) {
     this->failures_in_row = std::max(this->failures_in_row, kFailuresToSetAside - 1);
     this->AddFailure(now);
   }
 
-  bool IsSetAside(Time now) const { return now < this->out_until; }
+  bool IsSetAside(Time now) const { return now < this->set_aside_until; }
 
-  // Whether it has answered so lately that our own experience outweighs what
-  // others say.
-  bool SucceededLately(Time now) const { return now - this->succeeded_at < kOwnWordLasts; }
+  // Whether the last success is so recent that it takes precedence over reports of peers.
+  bool SucceededRecently(Time now) const {
+    return now - this->succeeded_at < kOwnSuccessPrecedence;
+  }
 
-  // 0 (never) to 1 (always), of late.  It fades with time too: an engine that
-  // gets no work because of it could never show that it is well again.
+  // Recent failure rate, from 0 (no failures) to 1 (all attempts fail).  It decays with time as
+  // well as with successes: otherwise an engine that gets no work because of its rate could never
+  // show that it works again.
   double FailureRate(Time now) const {
     double half_lives = ToSeconds(now - this->rated_at) / ToSeconds(kHalfLife);
     return this->failure_rate * std::exp2(-half_lives);
@@ -76,10 +80,11 @@
 
  private:
   int failures_in_row = 0;
+  // As of `rated_at`.
   double failure_rate = 0;
   Time rated_at{};
   Time succeeded_at{};
-  Time out_until{};
+  Time set_aside_until{};
 };
 
 }  // namespace gullward
--- a/src/serving/engine_load.cc
+++ b/src/serving/engine_load.cc
@@ -1,4 +1,4 @@
-// engine_load.h tells what is kept.
+// Work is stored by request and indexed by engine; peers' reports are stored by engine.
 
 #include "serving/engine_load.h"
 
@@ -12,15 +12,15 @@
 
 std::vector<PauseClass> Merged(std::vector<PauseClass> left, const std::vector<PauseClass>& right) {
   for (const PauseClass& added : right) {
-    auto place = std::lower_bound(
+    auto position = std::lower_bound(
         left.begin(), left.end(), added,
         [](const PauseClass& a, const PauseClass& b) { return a.pause_ms < b.pause_ms; });
-    if (place == left.end() || place->pause_ms != added.pause_ms) {
-      left.insert(place, added);
+    if (position == left.end() || position->pause_ms != added.pause_ms) {
+      left.insert(position, added);
       continue;
     }
-    place->streams += added.streams;
-    place->context_tokens += added.context_tokens;
+    position->streams += added.streams;
+    position->context_tokens += added.context_tokens;
   }
   return left;
 }
@@ -38,10 +38,10 @@
   return sum;
 }
 
-bool IsSignificantChange(const EngineLoad& told, const EngineLoad& now, bool count_reading) {
-  if (told.requests != now.requests || told.writers != now.writers) return true;
-  if ((told.reading_ms == 0) != (now.reading_ms == 0)) return true;
-  return count_reading && std::abs(told.reading_ms - now.reading_ms) >= kReadingNewsMs;
+bool IsSignificantChange(const EngineLoad& sent, const EngineLoad& now, bool count_reading) {
+  if (sent.requests != now.requests || sent.writers != now.writers) return true;
+  if ((sent.reading_ms == 0) != (now.reading_ms == 0)) return true;
+  return count_reading && std::abs(sent.reading_ms - now.reading_ms) >= kMinReadingChangeMs;
 }
 
 void LoadTracker::Begin(uint64_t work, std::vector<WorkPart> parts, Time now) {
@@ -77,31 +77,32 @@
 
 void LoadTracker::ApplyPeer(const std::string& name, uint64_t incarnation, uint64_t sequence,
                             const std::map<std::string, EngineLoad>& loads, Time now) {
-  uint64_t& life = this->lives[name];
-  if (life != incarnation) {
-    for (auto& [engine, peers] : this->told) peers.erase(name);
+  uint64_t& known = this->incarnations[name];
+  if (known != incarnation) {
+    for (auto& [engine, peers] : this->peer_loads) peers.erase(name);
   }
-  life = incarnation;
+  known = incarnation;
   for (const auto& [engine, load] : loads) {
-    Told& before = this->told[engine][name];
-    if (before.sequence < sequence) before = Told{load, sequence, now};
+    PeerLoad& previous = this->peer_loads[engine][name];
+    if (previous.sequence < sequence) previous = PeerLoad{load, sequence, now};
   }
 }
 
-void LoadTracker::ForgetSilent(Time now) {
-  std::set<std::string> heard;
-  for (auto engine = this->told.begin(); engine != this->told.end();) {
+void LoadTracker::ForgetExpired(Time now) {
+  std::set<std::string> peers_with_reports;
+  for (auto engine = this->peer_loads.begin(); engine != this->peer_loads.end();) {
     std::erase_if(engine->second,
-                  [&](const auto& word) { return now - word.second.heard > kPeerTimeout; });
-    for (const auto& [peer, word] : engine->second) heard.insert(peer);
-    engine = engine->second.empty() ? this->told.erase(engine) : std::next(engine);
+                  [&](const auto& report) { return now - report.second.received > kPeerTimeout; });
+    for (const auto& [peer, report] : engine->second) peers_with_reports.insert(peer);
+    engine = engine->second.empty() ? this->peer_loads.erase(engine) : std::next(engine);
   }
-  std::erase_if(this->lives, [&](const auto& life) { return heard.count(life.first) == 0; });
+  std::erase_if(this->incarnations,
+                [&](const auto& peer) { return peers_with_reports.count(peer.first) == 0; });
 }
 
 size_t LoadTracker::peer_entries() const {
   size_t count = 0;
-  for (const auto& [engine, peers] : this->told) count += peers.size();
+  for (const auto& [engine, peers] : this->peer_loads) count += peers.size();
   return count;
 }
 
@@ -122,9 +123,9 @@
 
 EngineLoad LoadTracker::SumOf(const PartsOfEngine& parts, Time now) const {
   EngineLoad sum;
-  for (const auto& [work, place] : parts) {
+  for (const auto& [work, position] : parts) {
     const Work& entry = this->works.at(work);
-    sum = Sum(sum, LoadOf(entry, entry.parts[place], now));
+    sum = Sum(sum, LoadOf(entry, entry.parts[position], now));
   }
   return sum;
 }
@@ -133,13 +134,13 @@
   EngineLoad sum;
   auto own = this->by_engine.find(engine);
   if (own != this->by_engine.end()) sum = this->SumOf(own->second, now);
-  auto words = this->told.find(engine);
-  if (words == this->told.end()) return sum;
-  for (const auto& [peer, word] : words->second) {
-    Duration age = now - word.heard;
-    bool is_over = age > kPeerTimeout || word.load == EngineLoad{};
+  auto reports = this->peer_loads.find(engine);
+  if (reports == this->peer_loads.end()) return sum;
+  for (const auto& [peer, report] : reports->second) {
+    Duration age = now - report.received;
+    bool is_over = age > kPeerTimeout || report.load == EngineLoad{};
     if (is_over) continue;
-    EngineLoad load = word.load;
+    EngineLoad load = report.load;
     load.read_ms = std::min(load.read_ms + ToSeconds(age) * 1000, load.reading_ms);
     sum = Sum(sum, load);
   }
--- a/src/serving/engine_load.h
+++ b/src/serving/engine_load.h
@@ -1,11 +1,13 @@
-// What runs on each engine: this process's own work exactly, and the other
-// entry processes' work as they last told it.
+// Tracks the work on each engine: this gateway's own work exactly, and the work of other gateways
+// as they last reported it.
 //
-//   LoadBook book;
-//   book.Begin(work_id, {engine_id, ...}, now);
-//   book.FirstEvent(work_id);                   // its prompt has been read
-//   book.End(work_id);
-//   EngineLoad load = book.Of(engine_id, now);
+//   LoadTracker loads;
+//   loads.Begin(work_id, {{engine, prompt_tokens, reading_ms}, ...}, now);
+//   loads.MarkFirstEvent(work_id);              // the prompt has been read
+//   loads.End(work_id);
+//   EngineLoad load = loads.LoadOn(engine, now);
+//
+// Engines are named by their incarnation (EngineRecord::Incarnation).
 
 #ifndef GULLWARD_SERVING_ENGINE_LOAD_H_
 #define GULLWARD_SERVING_ENGINE_LOAD_H_
@@ -19,11 +21,11 @@
 
 namespace gullward {
 
-// The pause that a stream tolerates once its answer is late, in milliseconds: any.
-// What it can still lose, its caller's patience, is priced apart from this.
+// The pause, in milliseconds, that a stream tolerates once its answer is late: practically any.
+// The caller may still give up on a long pause; that loss is priced separately (engine_costs.cc).
 inline constexpr double kLateStreamPauseMs = 100'000;
 
-// Streams on one engine that tolerate the same pause between events.
+// The streams on one engine that tolerate the same pause between events.
 struct PauseClass {
   double pause_ms = 0;
   int streams = 0;
@@ -34,21 +36,21 @@
 
 // The sum of the work on one engine.
 struct EngineLoad {
-  // Requests that hold, or wait for, a slot.
+  // Requests that hold a slot or wait for one.
   int requests = 0;
-  // Of these, the ones whose prompt has been read: they write.
+  // The part of `requests` whose prompt has been read; they write.
   int writers = 0;
   // Tokens of context over all requests.
   double context_tokens = 0;
-  // Milliseconds of reading over all prompts whose first event has not come.
+  // Reading time of all prompts whose first event has not come, in milliseconds.
   double reading_ms = 0;
-  // How much of it is done: an engine reads one prompt after another, so only
-  // the oldest has got anywhere.
+  // The part of `reading_ms` that is done.  An engine reads one prompt after another, so this is
+  // the progress on the oldest prompt only.
   double read_ms = 0;
-  // The streams, by the pause that they tolerate, shortest first.
+  // The streams by the pause that they tolerate, shortest first.
   std::vector<PauseClass> streams;
 
-  // Milliseconds of reading that are still to be done.
+  // Reading time that is still left, in milliseconds.
   double RemainingReadingMs() const { return reading_ms > read_ms ? reading_ms - read_ms : 0; }
 
   bool operator==(const EngineLoad&) const = default;
@@ -57,21 +59,21 @@
 // Adds two loads of the same engine.
 EngineLoad Sum(const EngineLoad& left, const EngineLoad& right);
 
-// A change of the reading on an engine that peers must hear of: a tenth of a long
-// prompt's share when sixteen engines read it (200 to 300 ms each).
-inline constexpr double kReadingNewsMs = 20;
+// A change of the reading time on an engine, in milliseconds, from which on it is sent to peers: a
+// tenth of one engine's share of a long prompt when sixteen engines read it (200 to 300 ms each).
+inline constexpr double kMinReadingChangeMs = 20;
 
-// Whether peers would choose otherwise if they knew the load of now instead of the one
-// that they were told.  `count_reading` off: only whether there is any reading counts.
-bool IsSignificantChange(const EngineLoad& told, const EngineLoad& now, bool count_reading = true);
+// Whether a load differs so much from the one last sent to peers that they may choose otherwise.
+// Without `count_reading`, the amount of reading does not count, only whether there is any.
+bool IsSignificantChange(const EngineLoad& sent, const EngineLoad& now, bool count_reading = true);
 
-// A request's part on one engine.
+// The part of a request that is on one engine.
 struct WorkPart {
   std::string engine;
-  // Tokens of the prompt that lie in this engine's memory.
+  // Tokens of the prompt that are in this engine's memory.
   double prompt_tokens = 0;
   double reading_ms = 0;
-  // Whether the request itself runs here, rather than a helper's share.
+  // Whether the request itself runs on this engine; false for a reader.
   bool is_main = true;
   double pause_ms = 0;
 
@@ -80,30 +82,30 @@
 
 class LoadTracker {
  public:
-  // A process that has said nothing for so long has stopped or lost touch; its
-  // work is ending or unknown.
+  // After this time without a report a peer is presumed stopped or disconnected.  Its work is
+  // ending or unknown and no longer counts.
   static constexpr Duration kPeerTimeout = milliseconds(1500);
 
-  // A request's work, under a number of this process's own: sent, its first event
-  // come, ended.
+  // Records the stages of one request, named by a number that is unique in this process: sent,
+  // first event received, ended.
   void Begin(uint64_t work, std::vector<WorkPart> parts, Time now);
   void MarkFirstEvent(uint64_t work);
   void End(uint64_t work);
-  // Its answer has come later than its caller wanted: no pause makes it later, so other
-  // prompts may be read beside it before they disturb streams that are in time.
+  // Records that an answer is later than its objective.  A pause does not make such an answer
+  // lose more, so prompts are read beside it rather than beside streams that are in time.
   void MarkAnswerLate(uint64_t work);
 
-  // Takes what another process has told of its own work, engine by engine.  What
-  // came earlier in the same life of the peer but arrives later is dropped; a new
-  // life of the peer forgets the old one's work.
+  // Applies a peer's report of its own work, by engine.  A report with a lower sequence number
+  // than an earlier one of the same incarnation of the peer is ignored.  A new incarnation of the
+  // peer replaces the work of the old one.
   void ApplyPeer(const std::string& peer, uint64_t incarnation, uint64_t sequence,
                  const std::map<std::string, EngineLoad>& loads, Time now);
 
-  // Forgets words of peers that are too old to count.  What was said of an engine that
-  // is gone, or by a peer that is, would else be kept for good.
-  void ForgetSilent(Time now);
+  // Drops reports older than kPeerTimeout.  Without this, reports on engines or by peers that no
+  // longer exist would be kept forever.
+  void ForgetExpired(Time now);
 
-  // How many words of peers are kept.
+  // Number of stored reports, one for each pair of engine and peer.
   size_t peer_entries() const;
 
   // All known work on an engine.
@@ -118,13 +120,13 @@
     Time begun;
     bool reading = true;
   };
-  struct Told {
+  struct PeerLoad {
     EngineLoad load;
     uint64_t sequence = 0;
-    Time heard;
+    Time received;
   };
 
-  // The works that have a part on one engine, and which part.
+  // For the works that have a part on one engine, the index of that part in Work::parts.
   using PartsOfEngine = std::map<uint64_t, size_t>;
 
   static EngineLoad LoadOf(const Work& work, const WorkPart& part, Time now);
@@ -133,10 +135,11 @@
 
   std::map<uint64_t, Work> works;
   std::map<std::string, PartsOfEngine> by_engine;
-  // Each peer's life, and by engine what each has told of it: a decision asks for the
-  // words on one engine, of which there are as many as peers have work there.
-  std::map<std::string, uint64_t> lives;
-  std::map<std::string, std::map<std::string, Told>> told;
+  // The current incarnation of each peer.
+  std::map<std::string, uint64_t> incarnations;
+  // The peers' reports, by engine and then by peer.  A choice needs the reports on one engine,
+  // and there are as many as peers with work there.
+  std::map<std::string, std::map<std::string, PeerLoad>> peer_loads;
 };
 
 }  // namespace gullward
--- a/src/serving/engine_notice.h
+++ b/src/serving/engine_notice.h
@@ -1,7 +1,7 @@
-// What an engine says of itself in an answer: the load that it takes, that it is leaving, or
-// that it wants a pause.
+// Data that an engine states about itself in an answer: a limit on the requests that it takes,
+// that it is leaving, or that it asks for a pause; and the reports of them among gateways.
 //
-// The platform's names and formats of these are decoded by platform/engine_notice.h.
+// platform/engine_notice.h decodes these from the platform's names and formats.
 
 #ifndef GULLWARD_SERVING_ENGINE_NOTICE_H_
 #define GULLWARD_SERVING_ENGINE_NOTICE_H_
@@ -12,24 +12,24 @@
 
 namespace gullward {
 
-// Of one answer.
+// The notices in one answer.
 struct EngineNotice {
   // Requests a second that the engine takes from all gateways together.
   std::optional<double> limit_per_s = std::nullopt;
-  // The engine is leaving and wants no new request for the rest of its life.
+  // The engine is leaving and takes no new requests for the rest of its incarnation.
   bool leaving = false;
-  // The engine wants no request from the gateway that it answers for so long.
+  // The engine takes no requests for this time from the gateway that receives the answer.
   std::optional<Duration> rest = std::nullopt;
-  // Whether one of them stood in the answer and could not be read.
+  // Whether the answer had a notice that could not be decoded.
   bool malformed = false;
-  // Whether the answer is a success that is proved to be the engine's own.  Something in front
-  // of an engine may write failures that say nothing of the engine.
+  // Whether the answer is a success that provably comes from the engine itself.  A proxy in front
+  // of an engine may send failures of its own, which say nothing about the engine.
   bool is_own_success = false;
 
   bool operator==(const EngineNotice&) const = default;
 };
 
-// What an engine has said of its limit, and how long ago.
+// What an engine stated about its limit, and how long ago.
 struct LimitReport {
   // No value: the engine no longer names a limit.
   std::optional<double> per_s = std::nullopt;
@@ -38,8 +38,8 @@
   bool operator==(const LimitReport&) const = default;
 };
 
-// What one gateway tells another of an engine's notices.  The pause is not among them: it is
-// asked of one gateway alone.
+// What one gateway reports to another about an engine's notices.  A pause is not reported, since
+// the engine asks one gateway alone for it.
 struct NoticeReport {
   std::optional<LimitReport> limit = std::nullopt;
   bool leaving = false;
--- a/src/serving/engine_notices.cc
+++ b/src/serving/engine_notices.cc
@@ -1,4 +1,4 @@
-// engine_notices.h tells the rules.
+// Entries are changed in place; expired ones are removed by Forget only.
 
 #include "serving/engine_notices.h"
 
@@ -7,7 +7,7 @@
 namespace gullward {
 namespace {
 
-bool SaysNothing(const EngineNotice& notice) {
+bool IsEmpty(const EngineNotice& notice) {
   return !notice.limit_per_s && !notice.leaving && !notice.rest;
 }
 
@@ -27,47 +27,48 @@
 EngineNotices::Entry& EngineNotices::FindOrAdd(const std::string& engine, Time now) {
   auto found = this->entries.find(engine);
   if (found == this->entries.end()) {
-    if (this->entries.size() >= kCapacity) this->MakeRoom();
+    if (this->entries.size() >= kCapacity) this->EvictOldest();
     found = this->entries.try_emplace(engine).first;
   }
-  found->second.kept_since = now;
+  found->second.last_updated = now;
   return found->second;
 }
 
-void EngineNotices::MakeRoom() {
-  auto heard_earlier = [](const auto& left, const auto& right) {
-    return left.second.kept_since < right.second.kept_since;
+void EngineNotices::EvictOldest() {
+  auto updated_earlier = [](const auto& left, const auto& right) {
+    return left.second.last_updated < right.second.last_updated;
   };
-  this->entries.erase(std::min_element(this->entries.begin(), this->entries.end(), heard_earlier));
+  this->entries.erase(
+      std::min_element(this->entries.begin(), this->entries.end(), updated_earlier));
   this->dropped += 1;
 }
 
-// Takes what the engine said of its limit at `said`, unless something later is known; tells
-// whether that changed anything.
-bool EngineNotices::TakeLimit(const std::optional<double>& limit, Time said, Entry* entry) {
-  if (said <= entry->limit_said) return false;
+// Stores a limit (no value: lifted) that is valid as of `as_of`, unless the stored value is from
+// that time or later.  Returns whether the limit changed.
+bool EngineNotices::UpdateLimit(const std::optional<double>& limit, Time as_of, Entry* entry) {
+  if (as_of <= entry->limit_as_of) return false;
   bool changed = entry->limit_per_s != limit;
   entry->limit_per_s = limit;
-  entry->limit_said = said;
+  entry->limit_as_of = as_of;
   return changed;
 }
 
 EngineNotices::Change EngineNotices::Receive(const std::string& engine, const EngineNotice& notice,
                                              Time sent, Time now) {
   Change change;
-  if (SaysNothing(notice) && !this->Has(engine)) return change;
+  if (IsEmpty(notice) && !this->Has(engine)) return change;
   Entry& entry = this->FindOrAdd(engine, now);
-  entry.heard_at = now;
+  entry.last_answer = now;
   bool may_be_lifted = entry.limit_per_s && notice.is_own_success && !notice.malformed;
   if (notice.limit_per_s) {
-    change.limit = TakeLimit(notice.limit_per_s, now, &entry);
+    change.limit = UpdateLimit(notice.limit_per_s, now, &entry);
   } else if (may_be_lifted) {
-    change.limit = TakeLimit(std::nullopt, sent, &entry);
+    change.limit = UpdateLimit(std::nullopt, sent, &entry);
   }
-  entry.is_untold = entry.is_untold || change.limit;
+  entry.is_unsent = entry.is_unsent || change.limit;
   change.leaving = notice.leaving && !entry.leaving;
   entry.leaving = entry.leaving || notice.leaving;
-  entry.is_untold = entry.is_untold || change.leaving;
+  entry.is_unsent = entry.is_unsent || change.leaving;
   if (notice.rest) {
     change.rest = entry.rests_until <= now;
     entry.rests_until = std::max(entry.rests_until, now + *notice.rest);
@@ -76,50 +77,50 @@
 }
 
 EngineNotices::Change EngineNotices::ReceiveReport(const std::string& engine,
-                                                   const NoticeReport& word, Time now) {
+                                                   const NoticeReport& report, Time now) {
   Change change;
-  bool is_new = word.leaving || (word.limit && word.limit->per_s);
+  bool is_new = report.leaving || (report.limit && report.limit->per_s);
   if (!is_new && !this->Has(engine)) return change;
   Entry& entry = this->FindOrAdd(engine, now);
-  if (word.limit && word.limit->age <= kOldestWord) {
-    change.limit = TakeLimit(word.limit->per_s, now - word.limit->age, &entry);
+  if (report.limit && report.limit->age <= kMaxReportAge) {
+    change.limit = UpdateLimit(report.limit->per_s, now - report.limit->age, &entry);
   }
-  change.leaving = word.leaving && !entry.leaving;
-  entry.leaving = entry.leaving || word.leaving;
+  change.leaving = report.leaving && !entry.leaving;
+  entry.leaving = entry.leaving || report.leaving;
   return change;
 }
 
 std::map<std::string, NoticeReport> EngineNotices::ReportsToSend(
     bool all, const std::function<bool(const std::string& engine)>& is_sharer, Time now) {
-  std::map<std::string, NoticeReport> words;
+  std::map<std::string, NoticeReport> reports;
   for (auto& [engine, entry] : this->entries) {
-    bool is_due = all && (now - entry.heard_at < kOwnWordLasts || is_sharer(engine));
-    if (!entry.is_untold && !is_due) continue;
-    entry.is_untold = false;
-    NoticeReport word;
-    Duration age = now - entry.limit_said;
-    if (age <= kOldestWord) word.limit = LimitReport{entry.limit_per_s, age};
-    word.leaving = entry.leaving;
-    if (word != NoticeReport{}) words[engine] = word;
+    bool is_due = all && (now - entry.last_answer < kRepeatPeriod || is_sharer(engine));
+    if (!entry.is_unsent && !is_due) continue;
+    entry.is_unsent = false;
+    NoticeReport report;
+    Duration age = now - entry.limit_as_of;
+    if (age <= kMaxReportAge) report.limit = LimitReport{entry.limit_per_s, age};
+    report.leaving = entry.leaving;
+    if (report != NoticeReport{}) reports[engine] = report;
   }
-  return words;
+  return reports;
 }
 
-double EngineNotices::CreditLeft(Entry* entry, double share, Time now) const {
-  return entry->credit.Left(share * std::max(*entry->limit_per_s, kLeastPerSecond), now);
+double EngineNotices::AvailableCredit(Entry* entry, double share, Time now) const {
+  return entry->credit.Available(share * std::max(*entry->limit_per_s, kMinPerSecond), now);
 }
 
 bool EngineNotices::Admits(const std::string& engine, double share, Time now) {
   Entry* entry = this->Find(engine);
   if (entry == nullptr) return true;
   if (entry->leaving || entry->rests_until > now) return false;
-  return !entry->limit_per_s || this->CreditLeft(entry, share, now) >= 1;
+  return !entry->limit_per_s || this->AvailableCredit(entry, share, now) >= 1;
 }
 
 void EngineNotices::NoteSent(const std::string& engine, double share, Time now) {
   Entry* entry = this->Find(engine);
   if (entry == nullptr || !entry->limit_per_s) return;
-  this->CreditLeft(entry, share, now);
+  this->AvailableCredit(entry, share, now);
   entry->credit.Take();
 }
 
@@ -131,8 +132,8 @@
   Duration rest = std::max(entry->rests_until - now, Duration::zero());
   if (!entry->limit_per_s) return rest;
   if (share <= 0) return std::nullopt;
-  this->CreditLeft(entry, share, now);
-  return std::max(rest, entry->credit.UntilOne());
+  this->AvailableCredit(entry, share, now);
+  return std::max(rest, entry->credit.TimeUntilOne());
 }
 
 bool EngineNotices::IsLeaving(const std::string& engine) const {
@@ -151,17 +152,17 @@
   return entry == nullptr ? std::nullopt : entry->limit_per_s;
 }
 
-bool EngineNotices::IsOver(const Entry& entry, Time now) {
-  bool was_limited = now - entry.limit_said < kLiftedKeptFor;
-  bool says_nothing =
-      !entry.limit_per_s && !was_limited && !entry.leaving && entry.rests_until <= now;
-  return says_nothing || now - entry.kept_since >= kRetention;
+bool EngineNotices::IsExpired(const Entry& entry, Time now) {
+  bool recently_limited = now - entry.limit_as_of < kLiftedRetention;
+  bool is_empty =
+      !entry.limit_per_s && !recently_limited && !entry.leaving && entry.rests_until <= now;
+  return is_empty || now - entry.last_updated >= kRetention;
 }
 
 void EngineNotices::Forget(const std::set<std::string>& listed, Time now) {
   for (auto it = this->entries.begin(); it != this->entries.end();) {
-    if (listed.count(it->first) != 0) it->second.kept_since = now;
-    it = IsOver(it->second, now) ? this->entries.erase(it) : std::next(it);
+    if (listed.count(it->first) != 0) it->second.last_updated = now;
+    it = IsExpired(it->second, now) ? this->entries.erase(it) : std::next(it);
   }
 }
 
--- a/src/serving/engine_notices.h
+++ b/src/serving/engine_notices.h
@@ -1,25 +1,26 @@
-// What engines have said of themselves, as far as it still holds.
+// Keeps what engines have said of themselves in answers, for as long as it holds.
 //
-// An engine's notice binds whoever has it, until the engine itself takes it back: neither the
-// engines' list nor the store nor a failure of either changes anything here.
+// An engine's notice holds until the engine itself withdraws it.  Neither the list of engines nor
+// the store nor a failure of either changes the notices.
 //
-//   - A limit holds until an answer of success no longer names it.  Answers may pass one another
-//     on the way, so only one to a request that was sent after the limit was last named counts. All
-//     gateways share it (limit_share.h), and tell each other of it: those that send an engine
-//     nothing would else never hear of the limit's end.
-//   - Leaving holds for the rest of the engine's life.  Gateways tell each other of that too.
-//   - A pause holds until its time is over.
+//   - A limit (requests a second) holds until an answer of success no longer names it.  Answers
+//     may overtake one another, so an answer lifts the limit only if its request was sent after
+//     the limit was last named.  All gateways share the limit (limit_share.h) and report it to
+//     each other: a gateway that sends the engine nothing would otherwise never learn that the
+//     limit has been lifted.
+//   - Leaving holds for the rest of the engine's incarnation.  Gateways report it to each other.
+//   - A pause holds until its time is over.  It applies to the gateway that received it alone.
 //
-// All is kept under the engine's incarnation (EngineRecord::Incarnation), so that a later life
-// begins without notices.
+// All state is keyed by the engine's incarnation (EngineRecord::Incarnation), so that a later
+// incarnation begins without notices.
 //
 //   EngineNotices notices;
-//   notices.Hear(engine, notice, request_sent, now);
+//   notices.Receive(engine, notice, request_sent, now);
 //   if (notices.IsLeaving(engine)) ...
 //
-// Memory is bounded: notices of engines that are no longer listed are dropped after kKeptFor,
-// and where there are kCapacity engines the one heard of longest ago makes room; forgotten()
-// counts those.
+// Memory is bounded: notices of engines that are no longer listed are dropped after kRetention.
+// With kCapacity engines stored, a new one replaces the engine that was updated least recently;
+// forgotten() counts the replaced ones.
 
 #ifndef GULLWARD_SERVING_ENGINE_NOTICES_H_
 #define GULLWARD_SERVING_ENGINE_NOTICES_H_
@@ -41,92 +42,94 @@
 
 class EngineNotices {
  public:
-  // An engine may drop off the list and come back, or leave for minutes.
+  // An engine may drop off the list and return, or be absent for minutes.
   static constexpr Duration kRetention = std::chrono::minutes(10);
-  // 200 bytes each.
+  // Each entry takes about 200 bytes.
   static constexpr size_t kCapacity = 4096;
-  // Of all gateways together, so that an engine that names a limit of zero is asked now and
-  // then whether it still does.
-  static constexpr double kLeastPerSecond = 0.1;
-  // Words of a limit that are older are neither told nor taken; that it is no longer named is
-  // remembered for longer, so that no older word brings the limit back.
-  static constexpr Duration kOldestWord = seconds(30);
-  static constexpr Duration kLiftedKeptFor = seconds(60);
-  // For how long a gateway that has heard the engine itself tells of it: for one round, in
-  // case that the first word was lost.
-  static constexpr Duration kOwnWordLasts = milliseconds(2500);
-
-  // Which notices of an engine an answer has changed.
+  // Lower bound of a limit, for all gateways together.  An engine with a limit of zero still gets
+  // a request now and then, whose answer shows whether the limit is still named.
+  static constexpr double kMinPerSecond = 0.1;
+  // Reports of a limit that are older are neither sent nor accepted.
+  static constexpr Duration kMaxReportAge = seconds(30);
+  // That a limit was lifted is kept for longer than kMaxReportAge, so that no report from before
+  // then restores the limit.
+  static constexpr Duration kLiftedRetention = seconds(60);
+  // For how long after an answer the gateway that received it reports the engine's notices in
+  // each round: long enough to repeat them once, in case the first datagram was lost.
+  static constexpr Duration kRepeatPeriod = milliseconds(2500);
+
+  // Which notices of an engine an answer or report has changed.
   struct Change {
     bool limit = false;
     bool leaving = false;
-    // The engine has begun a pause; one that is prolonged is no change.
+    // The engine has begun a pause.  The extension of a pause is not a change.
     bool rest = false;
 
     bool any() const { return limit || leaving || rest; }
     bool operator==(const Change&) const = default;
   };
 
-  // Takes what an engine has said in an answer that arrived at `now` to a request sent at
-  // `sent`.
+  // Applies the notice in an answer that arrived at `now` to a request sent at `sent`.
   Change Receive(const std::string& engine, const EngineNotice& notice, Time sent, Time now);
-  // Takes what another gateway has told.
-  Change ReceiveReport(const std::string& engine, const NoticeReport& word, Time now);
+  // Applies the report of another gateway.
+  Change ReceiveReport(const std::string& engine, const NoticeReport& report, Time now);
 
-  // What the others should hear: changes that nobody has been told of, or with `all`, in each
-  // round, also what the engine has said lately and what those who share its limit know.
+  // The reports to send to other gateways, by engine: changes that have not been sent yet.  With
+  // `all`, which is set once in each round, also the notices of engines that answered within
+  // kRepeatPeriod and of engines whose limit this gateway shares (`is_sharer`).
   std::map<std::string, NoticeReport> ReportsToSend(
       bool all, const std::function<bool(const std::string& engine)>& is_sharer, Time now);
 
-  // Whether the engine takes a request from this gateway now, which has `share` of its limit.
+  // Whether the engine admits a request from this gateway now.  `share`, 0 to 1, is the
+  // gateway's share of the engine's limit, here and below.
   bool Admits(const std::string& engine, double share, Time now);
-  // A request has been sent to the engine.
+  // Records that a request has been sent to the engine.
   void NoteSent(const std::string& engine, double share, Time now);
-  // After how long it will take one; nothing where that is not known.
+  // Time until the engine admits a request; no value if that is unknown.
   std::optional<Duration> TimeUntilAdmission(const std::string& engine, double share, Time now);
 
   bool empty() const { return this->entries.empty(); }
-  // Whether anything is known of the engine.
+  // Whether any notice of the engine is stored.
   bool Has(const std::string& engine) const { return this->Find(engine) != nullptr; }
   bool IsLeaving(const std::string& engine) const;
-  // What is left of the pause that the engine has asked for; none: zero.
+  // Time left of the pause that the engine has asked for; zero if there is none.
   Duration RestLeft(const std::string& engine, Time now) const;
   std::optional<double> LimitOf(const std::string& engine) const;
 
-  // Drops what is over.  `listed`: the incarnations that are on the engines' list.
+  // Drops expired notices.  `listed`: the incarnations on the list of engines.
   void Forget(const std::set<std::string>& listed, Time now);
 
-  // Engines by what they have said.
+  // Number of engines with a limit, leaving, and in a pause.
   size_t limited() const;
   size_t leaving() const;
   size_t resting(Time now) const;
-  // Engines dropped for want of room.
+  // Number of engines dropped because kCapacity was reached.
   uint64_t forgotten() const { return this->dropped; }
 
  private:
   struct Entry {
     std::optional<double> limit_per_s;
-    // Of what is known of the limit: when the answer that named it arrived, or when the
-    // request was sent whose answer did not.
-    Time limit_said{};
+    // The time that the current value of limit_per_s is from: the arrival of the answer that
+    // named the limit, or the sending of the request whose answer named none.
+    Time limit_as_of{};
     LimitCredit credit;
     bool leaving = false;
     Time rests_until{};
-    // When it was last heard of, or was on the list.
-    Time kept_since{};
-    // When the engine last said something here itself.
-    Time heard_at{};
-    // Whether that has changed what is known, and nobody has been told yet.
-    bool is_untold = false;
+    // When the entry was last updated or the engine was last on the list.
+    Time last_updated{};
+    // When an answer of the engine last arrived here.
+    Time last_answer{};
+    // Whether an answer has changed the notices and the change has not been sent to peers.
+    bool is_unsent = false;
   };
 
-  static bool IsOver(const Entry& entry, Time now);
-  static bool TakeLimit(const std::optional<double>& limit, Time said, Entry* entry);
-  double CreditLeft(Entry* entry, double share, Time now) const;
+  static bool IsExpired(const Entry& entry, Time now);
+  static bool UpdateLimit(const std::optional<double>& limit, Time as_of, Entry* entry);
+  double AvailableCredit(Entry* entry, double share, Time now) const;
   const Entry* Find(const std::string& engine) const;
   Entry* Find(const std::string& engine);
   Entry& FindOrAdd(const std::string& engine, Time now);
-  void MakeRoom();
+  void EvictOldest();
 
   std::unordered_map<std::string, Entry> entries;
   uint64_t dropped = 0;
--- a/src/serving/event_splitter.cc
+++ b/src/serving/event_splitter.cc
@@ -1,4 +1,4 @@
-// Events end with a blank line; lines end with \n or \r\n.
+// An event ends with a blank line, and a line ends with \n or \r\n.
 
 #include "serving/event_splitter.h"
 
@@ -8,7 +8,7 @@
 namespace gullward {
 namespace {
 
-// The end of the first whole event in `bytes`, or 0.
+// The size of the first complete event in `bytes`; 0 if there is none.
 size_t EndOfEvent(std::string_view bytes) {
   size_t line_end = bytes.find('\n');
   while (line_end != std::string_view::npos) {
@@ -20,7 +20,7 @@
   return 0;
 }
 
-// The value of the last "id:" line of an event.
+// The value of the last "id:" line of an event, if it has one.
 std::optional<std::string> IdOf(std::string_view event) {
   std::optional<std::string> id;
   while (!event.empty()) {
@@ -41,17 +41,17 @@
 }  // namespace
 
 WholeEvents EventSplitter::Feed(std::string_view bytes) {
-  this->rest.append(bytes);
+  this->partial.append(bytes);
   WholeEvents events;
   size_t done = 0;
-  while (size_t size = EndOfEvent(std::string_view(this->rest).substr(done))) {
-    std::optional<std::string> id = IdOf(std::string_view(this->rest).substr(done, size));
+  while (size_t size = EndOfEvent(std::string_view(this->partial).substr(done))) {
+    std::optional<std::string> id = IdOf(std::string_view(this->partial).substr(done, size));
     if (id) events.last_id = std::move(id);
     done += size;
     events.count += 1;
   }
-  events.bytes = this->rest.substr(0, done);
-  this->rest.erase(0, done);
+  events.bytes = this->partial.substr(0, done);
+  this->partial.erase(0, done);
   return events;
 }
 
--- a/src/serving/event_splitter.h
+++ b/src/serving/event_splitter.h
@@ -1,8 +1,8 @@
-// Cuts a stream of server-sent events into whole ones.
+// Splits a stream of server-sent events into complete events.
 //
-// An engine may stop in the middle of an event.  What the caller gets must end
-// between events, so that another engine can take the stream up after the last
-// one; bytes of an unfinished event wait here.
+// An engine may stop in the middle of an event.  The bytes sent to the caller must end between
+// events, so that another engine can resume the stream after the last complete one.  The splitter
+// therefore holds back the bytes of an incomplete event.
 //
 //   EventSplitter splitter;
 //   WholeEvents events = splitter.Feed(bytes);
@@ -18,11 +18,11 @@
 namespace gullward {
 
 struct WholeEvents {
-  // Zero or more whole events, each with the blank line that ends it.
+  // Zero or more complete events, each with the blank line that ends it.
   std::string bytes;
-  // How many there are.
+  // Number of events in `bytes`.
   int count = 0;
-  // The id of the last of them that carries one.
+  // The id of the last event that has one.
   std::optional<std::string> last_id;
 
   bool operator==(const WholeEvents&) const = default;
@@ -30,13 +30,14 @@
 
 class EventSplitter {
  public:
+  // Appends bytes of the stream and returns the events that are now complete.
   WholeEvents Feed(std::string_view bytes);
 
-  // Whether an unfinished event waits.
-  bool has_partial_event() const { return !this->rest.empty(); }
+  // Whether bytes of an incomplete event are held back.
+  bool has_partial_event() const { return !this->partial.empty(); }
 
  private:
-  std::string rest;
+  std::string partial;
 };
 
 }  // namespace gullward
--- a/src/serving/fleet.cc
+++ b/src/serving/fleet.cc
@@ -1,4 +1,5 @@
-// fleet.h tells what it is for.
+// Choosing among engines of the home cell and of other cells, and offering engines to other
+// cells.
 
 #include "serving/fleet.h"
 
@@ -12,17 +13,20 @@
 namespace gullward {
 namespace {
 
-// Work leaves the home cell where its first event is expected after this share of the
-// objective; before, the home cell's engines, which are known exactly, do as well.  Lateness
-// is priced from 0.6 of the objective on (engine_costs.cc), so this is where staying costs.
+// Engines of other cells are considered if the home cell's first event is expected later than
+// this share of the objective.  Up to then the home cell's engines, whose load is known exactly,
+// serve as well.  Lateness is priced from 0.6 of the objective on (engine_costs.cc), so at 0.7
+// the request already loses value by staying.
 constexpr double kSpillLateness = 0.7;
-// ... and where that costs less than this share of staying: what is known of engines
-// elsewhere is half a second old.  Chosen, not tuned.
+// The request spills only if the cost elsewhere is less than this share of the cost in the home
+// cell.  The margin is needed because the known load of engines elsewhere is up to half a second
+// old.
 constexpr double kSpillGain = 0.7;
-// So much to read weighs as much as all slots taken, when engines are chosen to be offered.
+// When engines are ranked for an offer, this much unread prompt time counts as much as all slots
+// in use.
 constexpr double kFullReadingMs = 1000;
 
-// An engine's place, 0 to 1, in the order of one request alone.
+// An engine's rank, 0 to 1, in an order that is specific to one request.
 double ScatteredRank(const std::string& engine, uint64_t scatter_hash) {
   constexpr double kPlaces = 1 << 16;
   uint64_t hash = XXH3_64bits_withSeed(engine.data(), engine.size(), scatter_hash);
@@ -76,49 +80,49 @@
   this->suspicion.Hear(peer, set_aside, this->plan(now).engines(), now);
 }
 
-// Whether an engine gets no work while there are others.
-bool Fleet::Avoids(const std::string& engine, Time now) {
+// Whether an engine is passed over while others are left.
+bool Fleet::ShouldAvoid(const std::string& engine, Time now) {
   const EngineHealth& record = this->health[engine];
   if (this->switches.own_set_aside && record.IsSetAside(now)) return true;
-  return this->suspicion.Suspects(engine, now) && !record.SucceededLately(now);
+  return this->suspicion.Suspects(engine, now) && !record.SucceededRecently(now);
 }
 
 const WorkPlan& Fleet::plan(Time now) {
   this->engines.Expire(now);
-  this->work_plan.Follow(this->engines);
+  this->work_plan.Update(this->engines);
   return this->work_plan;
 }
 
-std::vector<const HomeEngine*> Fleet::Pickable(const std::vector<HomeEngine>& usable,
-                                               const std::set<std::string>& tried, Time now) {
-  std::vector<const HomeEngine*> good;
-  std::vector<const HomeEngine*> untried;
-  std::vector<const HomeEngine*> all;
-  for (const HomeEngine& engine : usable) {
+std::vector<const PlannedEngine*> Fleet::Selectable(const std::vector<PlannedEngine>& usable,
+                                                    const std::set<std::string>& tried, Time now) {
+  std::vector<const PlannedEngine*> preferred;
+  std::vector<const PlannedEngine*> untried;
+  std::vector<const PlannedEngine*> all;
+  for (const PlannedEngine& engine : usable) {
     if (!this->Admits(engine.record, engine.incarnation, now)) continue;
     all.push_back(&engine);
     if (tried.count(engine.incarnation) != 0) continue;
     untried.push_back(&engine);
-    if (!this->Avoids(engine.incarnation, now)) good.push_back(&engine);
+    if (!this->ShouldAvoid(engine.incarnation, now)) preferred.push_back(&engine);
   }
-  if (!good.empty()) return good;
-  // Engines that were set aside are better than none.
+  if (!preferred.empty()) return preferred;
+  // An engine that is set aside is better than no engine.
   return untried.empty() ? all : untried;
 }
 
-std::optional<FleetChoice> Fleet::ChooseAmong(const std::vector<HomeEngine>& usable,
+std::optional<FleetChoice> Fleet::ChooseAmong(const std::vector<PlannedEngine>& usable,
                                               const Service& service, const Demand& demand,
                                               const std::set<std::string>& tried, Time now) {
-  std::vector<const HomeEngine*> pickable = this->Pickable(usable, tried, now);
+  std::vector<const PlannedEngine*> pickable = this->Selectable(usable, tried, now);
   if (pickable.empty()) return std::nullopt;
   std::vector<Candidate> candidates;
   candidates.reserve(pickable.size());
   double last = std::max<double>(static_cast<double>(pickable.size()) - 1, 1);
   for (size_t i = 0; i < pickable.size(); ++i) {
-    const HomeEngine& engine = *pickable[i];
+    const PlannedEngine& engine = *pickable[i];
     Candidate candidate;
     candidate.engine = engine.incarnation;
-    candidate.load = this->load_book.LoadOn(engine.incarnation, now);
+    candidate.load = this->load_tracker.LoadOn(engine.incarnation, now);
     candidate.slots = engine.record.slots;
     candidate.same_data_centre = engine.record.data_centre == this->data_centre;
     candidate.failure_rate = this->health[engine.incarnation].FailureRate(now);
@@ -144,18 +148,18 @@
   return choice;
 }
 
-// Whether engines of other cells should be asked as well.
-bool Fleet::WantsOthers(const std::optional<FleetChoice>& home, const Demand& demand) const {
+// Whether engines of other cells should be priced as well.
+bool Fleet::ShouldTryElsewhere(const std::optional<FleetChoice>& home, const Demand& demand) const {
   if (!this->switches.spill) return !home;
   if (!home) return true;
   bool late = home->placement.first_event_ms > kSpillLateness * demand.objective_ms;
   return late || ShouldRefuse(home->placement, demand);
 }
 
-// Engines of other cells: those on offer, or where there is no offer and `any` will do,
-// all of them.
-std::vector<HomeEngine> Fleet::OthersFor(const Service& service, bool any, Time now) {
-  std::vector<HomeEngine> others;
+// The usable engines of other cells that are on offer.  If there is none and `any` is set, all
+// usable engines of the service.
+std::vector<PlannedEngine> Fleet::EnginesElsewhere(const Service& service, bool any, Time now) {
+  std::vector<PlannedEngine> others;
   for (const std::string& incarnation : this->spill.Engines(now)) {
     const EngineRecord* engine = this->engines.FindIncarnation(incarnation);
     bool usable = engine != nullptr && engine->service == service.name && !engine->draining;
@@ -174,11 +178,12 @@
   std::optional<FleetChoice> home =
       this->ChooseAmong(home_plan.engines, service, demand, tried, now);
   if (home_plan.cells.is_whole() || !service.runs_models) return home;
-  if (!this->WantsOthers(home, demand)) return home;
-  // Where engines of the home cell take nothing by their own word, blind work would meet the
-  // same at engines of other cells.
+  if (!this->ShouldTryElsewhere(home, demand)) return home;
+  // Engines that are not on offer are used only if the home cell has no engines.  If it has
+  // some and their notices refuse new requests, engines elsewhere, whose notices may be unknown
+  // here, are likely to refuse as well.
   bool any = home_plan.engines.empty();
-  std::vector<HomeEngine> others = this->OthersFor(service, any, now);
+  std::vector<PlannedEngine> others = this->EnginesElsewhere(service, any, now);
   std::optional<FleetChoice> away = this->ChooseAmong(others, service, demand, tried, now);
   if (!away) return home;
   away->spilled = true;
@@ -191,11 +196,11 @@
   const WorkPlan& current = this->plan(now);
   std::vector<std::pair<double, std::string>> by_load;
   std::map<std::string, EngineLoad> loads;
-  for (const HomeEngine& engine : current.ForService(current.main_service()).engines) {
-    bool is_free =
-        !this->Avoids(engine.incarnation, now) && !this->engine_notices.Has(engine.incarnation);
+  for (const PlannedEngine& engine : current.ForService(current.main_service()).engines) {
+    bool is_free = !this->ShouldAvoid(engine.incarnation, now) &&
+                   !this->engine_notices.Has(engine.incarnation);
     if (!is_free) continue;
-    EngineLoad load = this->load_book.LoadOn(engine.incarnation, now);
+    EngineLoad load = this->load_tracker.LoadOn(engine.incarnation, now);
     double taken = static_cast<double>(load.requests) / std::max(engine.record.slots, 1);
     by_load.emplace_back(taken + load.RemainingReadingMs() / kFullReadingMs, engine.incarnation);
     loads[engine.incarnation] = std::move(load);
@@ -203,7 +208,7 @@
   std::sort(by_load.begin(), by_load.end());
   std::map<std::string, EngineLoad> offer;
   for (const auto& [load, engine] : by_load) {
-    if (offer.size() == Spill::kEnginesTold) break;
+    if (offer.size() == Spill::kMaxOffered) break;
     offer[engine] = loads[engine];
   }
   return offer;
@@ -223,13 +228,13 @@
     elsewhere[engine] = load;
     offered.insert(engine);
   }
-  this->load_book.ApplyPeer(peer, incarnation, sequence, elsewhere, now);
-  this->spill.Hear(peer, std::move(offered), now);
+  this->load_tracker.ApplyPeer(peer, incarnation, sequence, elsewhere, now);
+  this->spill.ReceiveOffer(peer, std::move(offered), now);
 }
 
 void Fleet::ForgetUnlisted(Time now) {
   this->suspicion.Tick(now);
-  this->load_book.ForgetSilent(now);
+  this->load_tracker.ForgetExpired(now);
   std::set<std::string> listed = this->engines.Incarnations();
   for (auto it = this->health.begin(); it != this->health.end();) {
     it = listed.count(it->first) != 0 ? std::next(it) : this->health.erase(it);
--- a/src/serving/fleet.h
+++ b/src/serving/fleet.h
@@ -1,8 +1,16 @@
-// Everything an entry process knows of the engines, and the choice among them:
-// the list, its own experience, the load, and the budget of second attempts.
+// Chooses engines for the requests of one gateway.
+//
+// A Fleet combines all state that a choice depends on: the list of engines, this gateway's own
+// success and failure record of each engine, the load on each engine, what engines have said in
+// answers, and the budget of retries.  A choice prices the engines of the home cell (cell_map.h)
+// by placement.h.  Where these are late or refuse, engines that gateways of other cells have
+// offered are priced too (spill.h), and the cheaper choice is taken.
 //
 //   Fleet fleet(retry_bounds, "box-1", "hall-1");
 //   std::optional<FleetChoice> choice = fleet.Choose(service, demand, tried, now);
+//
+// Engines are named by their incarnation (EngineRecord::Incarnation) in all state that is kept
+// about them.  A Fleet is used by one thread.
 
 #ifndef GULLWARD_SERVING_FLEET_H_
 #define GULLWARD_SERVING_FLEET_H_
@@ -32,14 +40,14 @@
 struct FleetChoice {
   // Runs the request.
   EngineRecord engine;
-  // Help to read its prompt.
+  // Read parts of the prompt for `engine`.
   std::vector<EngineRecord> readers;
   Placement placement;
-  // How many engines there were to choose from.
+  // Number of engines that were priced.
   size_t candidates = 0;
-  // Whether it runs outside the home cell.
+  // Whether `engine` is outside the home cell.
   bool spilled = false;
-  // The load of the chosen engine, as it was known.
+  // The load of `engine` at the time of the choice, without this request.
   EngineLoad load;
 };
 
@@ -53,83 +61,87 @@
 
   EngineDirectory& directory() { return this->engines; }
   const EngineDirectory& directory() const { return this->engines; }
-  // What runs on each engine.
-  LoadTracker& loads() { return this->load_book; }
-  // This process's own experience of an engine.
+  // The load on each engine.
+  LoadTracker& loads() { return this->load_tracker; }
+  // This gateway's own record of an engine's successes and failures.
   EngineHealth& HealthOf(const std::string& engine) { return this->health[engine]; }
-  // What engines have said of themselves.
+  // What engines have said of themselves in answers.
   EngineNotices& notices() { return this->engine_notices; }
   const EngineNotices& notices() const { return this->engine_notices; }
-  // The budget of second attempts at a service.
+  // The budget of retries for a service.
   RetryBucket& RetryBucketOf(const std::string& service);
 
-  // Counts an attempt that failed by the engine's doing.  Where peers have set the
-  // engine aside, or it could not be reached, one failure is enough to do so too.
+  // Records an attempt that failed because of the engine.  One failure sets the engine aside
+  // if it was unreachable or if peers have set it aside; otherwise EngineHealth decides.
   void NoteFailure(const std::string& engine, bool unreachable, Time now);
 
-  // The engines that this process has set aside by its own experience; none where
-  // they are so many that the trouble must be its own.
+  // The engines that this gateway has set aside because of its own failures.  Empty if they are
+  // so many that the fault is more likely this gateway's own (PeerSuspicion::IsInTrouble).
   std::set<std::string> SetAsideEngines(Time now) const;
-  // What a peer has set aside.
+  // Records the engines that a peer has set aside.
   void ReceiveSetAside(const std::string& peer, const std::set<std::string>& set_aside, Time now);
 
-  // What this process works on, by the list as it is.
+  // The engines of the home cells, by the current list.
   const WorkPlan& plan(Time now);
-  // Engines of the home cells, by the plan that was made last.
+  // Number of engines in all home cells, as of the last call of plan().
   size_t home_engines() const { return this->work_plan.engines(); }
-  // Engines of the home cell that have room, with all the work that is known there; to be
-  // offered to gateways of other cells.
+  // The least loaded engines of the home cell of the main service, with all load known on them,
+  // to be offered to gateways of other cells.  Engines that are set aside or have sent a notice
+  // are left out.
   std::map<std::string, EngineLoad> EnginesToOffer(Time now);
-  // What a gateway of another cell offers, in a datagram of that life and sequence.  Of
-  // engines of the home cell it says nothing: their work is told by those who have it there.
+  // Records the engines that a gateway of another cell offers, from the datagram with this
+  // incarnation and sequence number of the peer.  Engines of the home cell are ignored: the
+  // gateways that work on them report their load directly.
   void ReceiveOffer(const std::string& peer, uint64_t incarnation, uint64_t sequence,
                     const std::map<std::string, EngineLoad>& loads, Time now);
 
-  // All other gateways that are known.
+  // Sets the other gateways of the fleet.
   void SetGateways(std::vector<GatewayName> others);
-  // Boxes of gateways that count as stopped; their parts of limits pass on to others.
+  // Sets the boxes whose gateways are presumed stopped; the remaining gateways take over their
+  // shares of engines' limits.
   void SetSilentGateways(std::set<std::string> boxes);
 
-  // fleet_notices.cc: what follows from engines' notices.
-  // Whether a choice that was made a moment ago may still be sent.
+  // The functions from here to NoticesToSend apply engines' notices; fleet_notices.cc defines
+  // them.
+
+  // Whether the engine and the readers of an earlier choice still admit the request.
   bool StillAdmits(const FleetChoice& choice, Time now);
-  // Whether a request that waits for a connection to the engine should go on waiting: not
-  // where the engine has left, is leaving or has asked for a pause meanwhile.
+  // Whether a request that waits for a connection to the engine should keep waiting.  False if
+  // the engine has left the list, is leaving or has asked for a pause.
   bool ShouldKeepWaiting(const EngineRecord& engine, Time now) const;
-  // A request has been sent to the engine.
+  // Records that a request has been sent to the engine.
   void NoteSent(const EngineRecord& engine, Time now);
-  // Whether the service has engines and none of them takes a request now, by its own word.
+  // Whether the service has engines and all of them refuse new requests by their notices.
   bool AllHoldBack(const Service& service, Time now);
-  // Then: after how long the first of them will take one; nothing where that is not known.
+  // Time until the first engine of the service admits a request again; no value if unknown.
   std::optional<Duration> TimeUntilAdmission(const Service& service, Time now);
-  // Notices that peers should be told of (EngineNotices::WordsToTell).
+  // Notices to send to peers (EngineNotices::ReportsToSend).
   std::map<std::string, NoticeReport> NoticesToSend(bool all, Time now);
 
-  // Says how many processes share the budget of retries.
+  // Sets the number of gateways that share the retry budget.
   void SetProcessCount(size_t count);
 
-  // Picks engines for a request; those in `tried` only where no other is left.
-  // Nothing where no engine of the service may get work.
+  // Chooses engines for a request.  An engine in `tried` is chosen only if no other is left.
+  // Returns no value if no engine of the service may get the request.
   std::optional<FleetChoice> Choose(const Service& service, const Demand& demand,
                                     const std::set<std::string>& tried, Time now);
 
-  // Forgets what is known of engines that are no longer listed, and words of peers
-  // that are over.
+  // Drops state of engines that are no longer listed, and expired reports of peers.
   void ForgetUnlisted(Time now);
 
  private:
-  bool Avoids(const std::string& engine, Time now);
+  bool ShouldAvoid(const std::string& engine, Time now);
   bool Admits(const EngineRecord& engine, const std::string& incarnation, Time now);
   bool MayHelp(const std::string& incarnation) const;
   double ShareOfLimit(const EngineRecord& engine, const std::string& incarnation);
-  std::vector<HomeEngine> EnginesFor(const Service& service, Time now);
-  std::vector<const HomeEngine*> Pickable(const std::vector<HomeEngine>& engines,
-                                          const std::set<std::string>& tried, Time now);
-  std::optional<FleetChoice> ChooseAmong(const std::vector<HomeEngine>& engines,
+  std::vector<PlannedEngine> ReachableEngines(const Service& service, Time now);
+  std::vector<const PlannedEngine*> Selectable(const std::vector<PlannedEngine>& usable,
+                                               const std::set<std::string>& tried, Time now);
+  std::optional<FleetChoice> ChooseAmong(const std::vector<PlannedEngine>& usable,
                                          const Service& service, const Demand& demand,
                                          const std::set<std::string>& tried, Time now);
-  std::vector<HomeEngine> OthersFor(const Service& service, bool any, Time now);
-  bool WantsOthers(const std::optional<FleetChoice>& home, const Demand& demand) const;
+  std::vector<PlannedEngine> EnginesElsewhere(const Service& service, bool any, Time now);
+  bool ShouldTryElsewhere(const std::optional<FleetChoice>& home, const Demand& demand) const;
 
   RetryBounds retry_bounds;
   Mechanisms switches;
@@ -140,15 +152,16 @@
   std::string box;
   WorkPlan work_plan;
   Spill spill;
-  LoadTracker load_book;
+  LoadTracker load_tracker;
   std::map<std::string, EngineHealth> health;
   EngineNotices engine_notices;
-  // Whether the other gateways are known at all.
+  // Whether SetGateways has been called.
   bool gateways_known = false;
   std::set<std::string> silent_gateways;
-  // By incarnation, as of a revision of the plan.
+  // This gateway's shares of engines' limits, by incarnation.  A cache, valid for the plan of
+  // revision `limit_shares_revision`.
   std::map<std::string, double> limit_shares;
-  uint64_t limit_shares_of = 0;
+  uint64_t limit_shares_revision = 0;
   PeerSuspicion suspicion;
   std::map<std::string, RetryBucket> retries;
 };
--- a/src/serving/limit_share.cc
+++ b/src/serving/limit_share.cc
@@ -1,4 +1,4 @@
-// limit_share.h tells the method.
+// The order of the gateways is by a hash of the box, seeded with a hash of the engine's name.
 
 #include "serving/limit_share.h"
 
@@ -10,8 +10,8 @@
 namespace gullward {
 namespace {
 
-// A gateway's place in the engine's order; boxes of one hash come in the order of their names.
-std::pair<uint64_t, std::string> PlaceOf(const std::string& box, uint64_t engine_hash) {
+// The sort key of a gateway in the engine's order.  Boxes with the same hash are ordered by name.
+std::pair<uint64_t, std::string> SortKey(const std::string& box, uint64_t engine_hash) {
   return {XXH3_64bits_withSeed(box.data(), box.size(), engine_hash), box};
 }
 
@@ -20,12 +20,12 @@
 double ShareOfLimit(const std::string& engine, const std::string& own_box,
                     const std::vector<std::string>& others) {
   uint64_t engine_hash = XXH3_64bits(engine.data(), engine.size());
-  auto own_place = PlaceOf(own_box, engine_hash);
-  size_t before = 0;
+  auto own_key = SortKey(own_box, engine_hash);
+  size_t preceding = 0;
   for (const std::string& box : others) {
-    if (PlaceOf(box, engine_hash) < own_place) before += 1;
+    if (SortKey(box, engine_hash) < own_key) preceding += 1;
   }
-  if (before >= kSharers) return 0;
+  if (preceding >= kSharers) return 0;
   return 1.0 / static_cast<double>(std::min(kSharers, others.size() + 1));
 }
 
--- a/src/serving/mechanisms.h
+++ b/src/serving/mechanisms.h
@@ -1,10 +1,10 @@
-// Switches for the mechanisms by which a gateway chooses engines and refuses
-// work, each on by default.
+// Switches for the mechanisms by which a gateway chooses engines and refuses work.  All are on by
+// default.
 //
-// Every mechanism can be switched off alone, so that the same day can be played with
-// and without it.  Switched off, a mechanism falls back to the plainest choice that
-// still serves (see each field); only the last one lets a rule be broken.
-// docs/WORTH.md says what each is worth.
+// Each mechanism can be switched off by itself, so that the same load can be run with and without
+// it.  A mechanism that is off falls back to the simplest behaviour that still serves requests
+// (described at each field).  Without `quarantine` or `engine_notices`, bounds that the users
+// require are exceeded.  docs/WORTH.md states the effect of each mechanism.
 //
 //   Mechanisms mechanisms;
 //   mechanisms.refusal_by_cost = false;     // refuse only what cannot be run
@@ -16,79 +16,80 @@
 namespace gullward {
 
 struct Mechanisms {
-  // A first try whose cost to others is over what it earns is refused at once,
-  // with when to come back.  Off: it is sent to the cheapest engine anyway.
+  // A first attempt whose cost to others exceeds its value is refused at once, with the time
+  // after which to retry.  Off: it is sent to the cheapest engine anyway.
   bool refusal_by_cost = true;
-  // A long prompt is read by several engines in parts.  Off: by one engine,
-  // so a prompt over one engine's memory finds no engine.
+  // A long prompt is read by several engines in parts.  Off: it is read by one engine, and a
+  // prompt that exceeds one engine's memory finds no engine.
   bool spread_reading = true;
-  // Shorts fill engines in one order that all gateways share, vast prompts
-  // from its other end.  Off: all engines rank alike.
+  // Short prompts fill engines in an order that all gateways share, very long prompts from its
+  // end.  Off: all engines have the same rank.
   bool shared_order = true;
-  // The work that peers have sent to each engine is counted in its load.  Off:
-  // each gateway knows its own work only (it still tells its own).
+  // The load of an engine includes the work that peers have sent to it.  Off: it includes this
+  // gateway's own work only, which is still reported to peers.
   bool peer_loads = true;
-  // Two peers' words set an engine aside here too.  Off: only this gateway's
-  // own failures do.
+  // An engine that two peers have set aside is set aside here too.  Off: only this gateway's own
+  // failures count.
   bool peer_set_aside = true;
-  // Engines that failed of late get no work while there are others.  Off:
-  // their failure rate still weighs in their price.
+  // An engine that has failed recently gets no work while others are left.  Off: its failure
+  // rate still raises its cost.
   bool own_set_aside = true;
-  // An attempt whose engine is silent for longer than expected is left for
-  // another engine where the request may run again.  Off: it waits until the
-  // engine answers or the request's time is over.
+  // An attempt whose engine is silent for longer than expected is given up for another engine if
+  // the request may run again.  Off: the request waits until the engine answers or the request's
+  // time is over.
   bool leave_silent_engines = true;
-  // Where a prompt was to be read by several engines and the refusal names one of the
-  // helpers as the cause, that helper is set aside and the engine that answered stays
-  // in use.  Off: the engine that answered is blamed, and the next attempt may ask the
-  // same helper again.
+  // If several engines were to read a prompt and the refusal names one of the readers as its
+  // cause, that reader is set aside and the engine that answered stays in use.  Off: the failure
+  // is recorded against the engine that answered, and the next attempt may use the same reader
+  // again.
   bool blame_named_reader = true;
-  // A helper's share of a prompt is told to peers though the engine was reading
-  // already.  Off: they hear of it with the next full round, half a second later, and
-  // meanwhile give the same engine more to read.
+  // A reader's part of a prompt is reported to peers at once even if the engine was reading
+  // already.  Off: peers learn of it in the next full round, up to half a second later, and
+  // meanwhile may give the same engine more to read.
   bool tell_reading = true;
-  // A stream that is late already counts as one that no pause harms.  Off: its worth
-  // is protected as if it were in time.
+  // A stream whose answer is late already counts as one that tolerates any pause.  Off: it is
+  // protected from pauses like a stream that is in time.
   bool spare_late_streams = true;
-  // A first event that a second engine would bring late too is waited for longer.  Off:
-  // the engine is left after three times the expected time.
+  // The timeout of a first event is longer if a second engine would be late too.  Off: the
+  // attempt is given up after three times the expected time.
   bool wait_for_late_first = true;
-  // A long prompt runs where streams run already and is read where few do.  Off: only
-  // the price decides.
+  // A long prompt runs on an engine that already has streams and is read by engines that have
+  // few.  Off: only the cost decides.
   bool gather_streams = true;
-  // The engines' list is kept a second time in the store, for a gateway that starts
-  // while the list cannot be read.  Off: that gateway refuses until it can.
+  // A copy of the list of engines is kept in the store, for a gateway that starts while the list
+  // cannot be read.  Off: such a gateway refuses requests until the list can be read.
   bool copy_engine_list = true;
-  // A read of the engines' list that has not brought what a peer has read is sent again.
-  // Off: it waits until the store answers it.
+  // A pending read of the list of engines is sent again if a peer has read further.  Off: the
+  // gateway waits until the store answers the first read.
   bool catch_up_with_peers = true;
-  // A large fleet is divided into cells (cell_map.h).  Off: every gateway chooses among
-  // all engines and tells all gateways.
+  // A large fleet is divided into cells (cell_map.h).  Off: every gateway chooses among all
+  // engines and reports to all gateways.
   bool cells = true;
-  // In a fleet of several cells, what the home cell would serve late or refuse goes to
-  // engines that gateways of other cells offer.  Off: only where the home cell has no
-  // engine at all does work leave it.
+  // In a fleet of several cells, a request that the home cell would serve late or refuse goes to
+  // an engine that a gateway of another cell offers.  Off: a request leaves the home cell only if
+  // that cell has no engine for it.
   bool spill = true;
-  // A gateway that the store turns away gets a newer configuration from a peer.  Off: it
-  // waits for the store, and refuses what needs a key once its last proof is too old.
+  // A gateway that cannot read from the store takes a newer configuration from a peer.  Off:
+  // it waits for the store, and refuses requests that need a key once its last validation of
+  // the configuration is too old.
   bool config_from_peers = true;
-  // Requests that end the engines that run them are kept from further ones (quarantine.h).
-  // Off: each is sent on like any other, and the users' bound on such requests is broken.
+  // A request that crashes engines is not sent to further ones (quarantine.h).  Off: it is retried
+  // like any other, and the users' bound on the crashes by one request is exceeded.
   bool quarantine = true;
-  // What engines say of themselves in answers is followed (engine_notices.h).  Off: it is
-  // known and told in the log only, and the users' bounds on it are broken.
+  // The notices that engines send in answers are followed (engine_notices.h).  Off: they are
+  // recorded and logged only, and the users' bounds on the requests to such engines are exceeded.
   bool engine_notices = true;
 
   bool operator==(const Mechanisms&) const = default;
 };
 
-// A switch as settings name it: `use_` and this.
+// A switch by its name; the key in the settings is `use_` followed by the name.
 struct MechanismSwitch {
   const char* name;
   bool Mechanisms::*field;
 };
 
-// Every switch.
+// All switches.
 inline constexpr MechanismSwitch kMechanismSwitches[] = {
     {"refusal_by_cost", &Mechanisms::refusal_by_cost},
     {"spread_reading", &Mechanisms::spread_reading},
--- a/src/serving/placement.h
+++ b/src/serving/placement.h
@@ -1,24 +1,23 @@
-// Chooses the engine, or the engines, that a request costs least on.
+// Chooses the engine or engines on which a request has the lowest cost.
 //
-// Short and vast prompts share the engines.  An engine works in passes: it reads
-// the prompts that wait, then writes a few tokens for every running request.  So
-// a vast prompt that one engine reads makes every stream on that engine pause
-// for the whole of the reading.  Each candidate is therefore priced by what it
-// does to the request itself (the wait for its first event, against its
-// objective) and to the streams that already run there (a pause that gets longer
-// than they tolerate).  A prompt may be read by several engines in equal parts;
-// every number of parts up to a bound is priced too, and the cheapest wins.
+// Short and very long prompts share the engines.  An engine works in passes: it reads the prompts
+// that wait, then writes a few tokens for every running request.  A very long prompt that is read
+// by one engine therefore makes every stream on that engine pause for the whole reading.
 //
-// Shorts are packed: a decode step costs nearly the same for one stream as for
-// many, so among equals the engine that comes first in an order that all
-// processes share is taken.  Engines at the end of that order stay free of
-// streams, and vast prompts are read there.  Nobody sets the border: it moves
-// with the load.
+// Each candidate is priced by the loss it causes (engine_costs.h): to the request itself, whose
+// first event may come later than its objective, and to the streams that already run there, whose
+// pause may become longer than they tolerate.  A prompt may be read by several engines in equal
+// parts.  Every number of readers up to a bound is priced, and the cheapest placement is taken.
+//
+// Short prompts are packed: a decode step takes nearly the same time for one stream as for many.
+// Among engines of equal cost the first in an order that all gateways share is taken.  Engines at
+// the end of that order stay free of streams, and very long prompts are read there.  There is no
+// fixed border between the two; it moves with the load.
 //
 //   Placement placement = Choose(candidates, speed, demand);
-//   if (placement.engines.empty()) ...      // none would do
+//   if (placement.engines.empty()) ...      // no candidate can run the request
 //
-// Choose decides by its arguments only.
+// The functions here are pure: the result depends on the arguments only.
 
 #ifndef GULLWARD_SERVING_PLACEMENT_H_
 #define GULLWARD_SERVING_PLACEMENT_H_
@@ -33,79 +32,80 @@
 
 namespace gullward {
 
-// What a request asks of an engine.
+// What a request needs of an engine.
 struct Demand {
   double prompt_tokens = 0;
   double answer_tokens = 0;
-  // The route's aims for the first event and for the longest pause.
+  // The route's objective for the first event and for the longest pause, in milliseconds.
   double objective_ms = 300;
   double pause_ms = 0;
-  // Whether the caller seems to have been refused before: it waits for a shorter
-  // time than the route allows.
+  // Whether the caller has probably been refused before: its timeout is shorter than the route
+  // allows.
   bool was_refused_before = false;
-  // Set where the request was on an engine that ended: such requests do not fill engines in
-  // the shared order but in one of their own each, by this hash.  They would meet again on
-  // the next engine, and if one of them ends that too, nobody could tell which.
+  // Set if the request was on an engine that crashed.  Each such request ranks the engines in an
+  // order of its own, by this hash, instead of the shared order.  In the shared order they would
+  // all be packed onto the same next engine, and if one of them crashed it, the crashing request
+  // could not be told from the others.
   std::optional<uint64_t> scatter_hash;
 
   bool operator==(const Demand&) const = default;
 };
 
-// An engine that may run a request, or help to read its prompt.
+// An engine that may run a request or read a part of its prompt.
 struct Candidate {
   std::string engine;
   EngineLoad load;
-  // Requests that it runs at a time.
+  // Requests that the engine runs at a time.
   int slots = 1;
   bool same_data_centre = false;
-  // 0 to 1: how often it has failed of late.
+  // Recent failure rate, 0 to 1.
   double failure_rate = 0;
-  // Its place in the order that all processes share, 0 to 1.
+  // Position in the order that all gateways share, 0 to 1.
   double rank = 0;
-  // Whether it may read parts of prompts that run on other engines.
+  // Whether the engine may read parts of prompts of requests that run on other engines.
   bool may_help = true;
 
   bool operator==(const Candidate&) const = default;
 };
 
-// Which engines a request goes to, and what is expected of that.
+// The engines that a request goes to, and the expected times and costs.
 struct Placement {
-  // The first runs the request; the others help to read its prompt.  Indices
-  // into the candidates.
+  // Indices into the candidates.  The first engine runs the request; the others are readers, each
+  // of which reads a part of the prompt.
   std::vector<size_t> engines;
-  // Whether the readers also hold a share of the prompt in their memory.
+  // Whether the readers also hold a part of the prompt in their memory.
   bool spreads_memory = false;
-  // Tokens of memory that each engine holds; where not spread, the first alone.
+  // Tokens of memory on each engine, or on the first alone if the memory is not spread.
   double memory_tokens = 0;
-  // Milliseconds that each of them reads.
+  // Reading time on each engine, in milliseconds.
   double part_reading_ms = 0;
-  // Milliseconds for which a slot has to be waited for; more than none only where every
-  // engine's are taken.
+  // Expected wait for a slot, in milliseconds; above zero only if all slots of every engine are
+  // in use.
   double slot_wait_ms = 0;
-  // When the first event is expected, in milliseconds from now.
+  // Expected time from now to the first event, in milliseconds.
   double first_event_ms = 0;
-  // In units of a short request's worth.
+  // Total cost.  The unit is the value of a short request.
   double cost = 0;
-  // The part of the cost that streams on the engines bear.
+  // The part of `cost` that is caused to streams already on the engines.
   double cost_to_streams = 0;
-  // How busy all candidates are, 0 to 1, and the engine time that it takes, in
-  // seconds.
+  // Mean utilization of all candidates, 0 to 1.
   double utilization = 0;
+  // Engine time that the request takes, in seconds.
   double engine_seconds = 0;
 
   bool operator==(const Placement&) const = default;
 };
 
-// Most engines that may read one prompt together.
-inline constexpr int kMostReaders = 16;
+// Maximum number of engines that read one prompt together.
+inline constexpr int kMaxReaders = 16;
 
-// Milliseconds that one engine needs to read a whole prompt.
+// Milliseconds that one engine takes to read a whole prompt.
 double ReadingMs(const EngineSpeed& speed, double prompt_tokens);
 
-// Milliseconds that an engine spends on writing in one pass.
+// Milliseconds of one pass that an engine spends on writing.
 double WritingPassMs(const EngineSpeed& speed, const EngineLoad& load);
 
-// Which parts of the method are used; mechanisms.h tells what each falls back to.
+// Parts of the method that can be switched off; mechanisms.h describes the fallbacks.
 struct PlacementOptions {
   bool spread_reading = true;
   bool gather_streams = true;
@@ -113,11 +113,11 @@
   bool operator==(const PlacementOptions&) const = default;
 };
 
-// For engines that run models.
+// Chooses among engines that run models.
 Placement Choose(const std::vector<Candidate>& candidates, const EngineSpeed& speed,
                  const Demand& demand, const PlacementOptions& options = {});
 
-// For plain services: the least loaded for its slots.
+// Chooses the engine with the fewest requests per slot, for services that do not run models.
 Placement ChooseLeastLoaded(const std::vector<Candidate>& candidates);
 
 }  // namespace gullward
--- a/src/serving/refusal.cc
+++ b/src/serving/refusal.cc
@@ -1,4 +1,4 @@
-// What a request would earn is held against what others would lose by it.
+// Compares the value that a request would have with its cost to others.
 
 #include "serving/refusal.h"
 
@@ -7,29 +7,31 @@
 namespace gullward {
 namespace {
 
-// What a second of an engine earns when all are busy, over the kinds of requests that share
-// them.
-constexpr double kWorthPerEngineSecond = 8;
-// A request that was refused before may cost others so many times what it earns.
-constexpr double kComeBackShare = 1.2;
-// A request is refused for being late only from this share of its aim on: here a wrong
-// guess loses the whole answer, among placements only some engine time.
+// The value earned in one second of an engine when all engines are busy, averaged over the kinds
+// of requests that share them.
+constexpr double kValuePerEngineSecond = 8;
+// A request that was refused before may cost others this many times its own value.
+constexpr double kRefusedBeforeFactor = 1.2;
+// Share of the objective from which an expected first event counts as late here.  It is higher than
+// the share for long prompts in engine_costs.cc: a wrong estimate here loses the whole answer, but
+// in a choice among placements only some engine time.
 constexpr double kRefusalSafety = 0.6;
-// A wait for a slot of this share of the objective counts as the cause of a late
-// answer.
-constexpr double kHopelessSlotShare = 0.8;
+// The wait for a slot counts as the cause of a late answer if it exceeds this share of the
+// objective.
+constexpr double kMaxSlotWaitShare = 0.8;
 
 }  // namespace
 
 bool ShouldRefuse(const Placement& placement, const Demand& demand) {
-  double late = Lateness(placement.first_event_ms, demand.objective_ms, kRefusalSafety);
-  double earned = RequestValue(demand.prompt_tokens) * (1 - kLateLoss * late);
-  double taken = kWorthPerEngineSecond * placement.engine_seconds;
-  double price = placement.cost_to_streams + placement.utilization * placement.utilization * taken;
-  double share = demand.was_refused_before ? kComeBackShare : 1;
-  if (price > share * earned) return true;
-  bool slots_bind = placement.slot_wait_ms > kHopelessSlotShare * demand.objective_ms;
-  return slots_bind && placement.first_event_ms > demand.objective_ms;
+  double lateness = Lateness(placement.first_event_ms, demand.objective_ms, kRefusalSafety);
+  double value = RequestValue(demand.prompt_tokens) * (1 - kLateLoss * lateness);
+  double engine_time_value = kValuePerEngineSecond * placement.engine_seconds;
+  double cost =
+      placement.cost_to_streams + placement.utilization * placement.utilization * engine_time_value;
+  double factor = demand.was_refused_before ? kRefusedBeforeFactor : 1;
+  if (cost > factor * value) return true;
+  bool slot_wait_is_cause = placement.slot_wait_ms > kMaxSlotWaitShare * demand.objective_ms;
+  return slot_wait_is_cause && placement.first_event_ms > demand.objective_ms;
 }
 
 }  // namespace gullward
--- a/src/serving/refusal.h
+++ b/src/serving/refusal.h
@@ -1,7 +1,7 @@
-// Which requests are better refused at once than run, by what the best placement would cost.
+// Decides which requests to refuse at once instead of running them.
 //
 //   Placement placement = Choose(candidates, speed, demand);
-//   if (ShouldRefuse(placement, demand)) ...      // 503, with when to come back
+//   if (ShouldRefuse(placement, demand)) ...      // 503 with a Retry-After header
 
 #ifndef GULLWARD_SERVING_REFUSAL_H_
 #define GULLWARD_SERVING_REFUSAL_H_
@@ -10,10 +10,13 @@
 
 namespace gullward {
 
-// Whether a request is better refused at once and told when to come back: what it
-// would cost others (pauses of their streams, and engine time that busy engines
-// have not got) is more than it would earn, or every slot is taken and the wait for
-// one alone makes its answer late.  Never on engines that are idle.
+// Whether to refuse a request whose best placement is `placement`.  It is refused if
+//
+//   - its cost to others (longer pauses of their streams, and engine time while engines are busy)
+//     exceeds the value that its answer would have, or
+//   - all slots are in use and the wait for a slot alone makes its answer late.
+//
+// Idle engines never cause a refusal.
 bool ShouldRefuse(const Placement& placement, const Demand& demand);
 
 }  // namespace gullward
--- a/src/serving/retry_bucket.cc
+++ b/src/serving/retry_bucket.cc
@@ -1,29 +1,30 @@
-// retry_bucket.h tells the arithmetic.
+// Credit from requests is spent before credit from the slack.
 
 #include "serving/retry_bucket.h"
 
 namespace gullward {
 namespace {
 
-// Credit is a sum of fractions; so much of a retry is lost to rounding.
+// Tolerance for rounding errors, in retries: credit is a sum of fractions.
 constexpr double kRounding = 1e-9;
 
 }  // namespace
 
-// The ratio of the busier of this fifth of a window and the one before.  A process that has
-// few requests could else never save a whole attempt.
-double RetryBucket::MostSavedOfRequests() const {
-  double requests = std::max(this->current.requests, this->before.requests);
-  double least = 1 - std::min(this->MostSavedSlack(), 1.0);
-  return std::max(this->bounds.ratio * requests, least);
+// The ratio of the requests of the current or the previous period, whichever has more.  Together
+// with the slack at least one whole retry can be saved; otherwise a process with few requests could
+// never retry.
+double RetryBucket::MaxSavedFromRequests() const {
+  double requests = std::max(this->current.requests, this->previous.requests);
+  double min_saved = 1 - std::min(this->MaxSavedSlack(), 1.0);
+  return std::max(this->bounds.ratio * requests, min_saved);
 }
 
 void RetryBucket::CountRequest(Time now) {
-  int64_t length = std::max<int64_t>(this->bounds.window.count() / kSavedPerWindow, 1);
+  int64_t length = std::max<int64_t>(this->bounds.window.count() / kPeriodsPerWindow, 1);
   int64_t number = now.time_since_epoch().count() / length;
   if (number != this->current.number) {
-    bool follows = number == this->current.number + 1;
-    this->before = follows ? this->current : Period{};
+    bool is_next = number == this->current.number + 1;
+    this->previous = is_next ? this->current : Period{};
     this->current = Period{number, 0};
   }
   this->current.requests += 1;
@@ -32,31 +33,31 @@
 void RetryBucket::AddRequest(Time sent, Time now) {
   if (now - sent >= this->bounds.window) return;
   this->CountRequest(now);
-  double most = this->MostSavedOfRequests();
-  if (this->from_requests >= most) return;
-  this->from_requests = std::min(this->from_requests + this->bounds.ratio, most);
+  double max_saved = this->MaxSavedFromRequests();
+  if (this->from_requests >= max_saved) return;
+  this->from_requests = std::min(this->from_requests + this->bounds.ratio, max_saved);
 }
 
-// What flows in over a window is what may not be saved of the part.
-void RetryBucket::Fill(Time now) {
-  double windows = ToSeconds(now - this->filled_at) / ToSeconds(this->bounds.window);
-  this->filled_at = std::max(this->filled_at, now);
+// The share of the slack that is earned over a window is the part that cannot be saved.
+void RetryBucket::EarnSlack(Time now) {
+  double windows = ToSeconds(now - this->updated_at) / ToSeconds(this->bounds.window);
+  this->updated_at = std::max(this->updated_at, now);
   if (windows <= 0) return;
   this->saved_share = std::min(this->saved_share + (1 - kSavedShare) * windows, kSavedShare);
 }
 
 double RetryBucket::Available(Time now) {
-  this->Fill(now);
-  return this->from_requests + this->saved_share * this->SlackPart();
+  this->EarnSlack(now);
+  return this->from_requests + this->saved_share * this->SlackShare();
 }
 
 bool RetryBucket::TakeRetry(Time now) {
   if (this->Available(now) < 1 - kRounding) return false;
-  double of_requests = std::min(this->from_requests, 1.0);
-  this->from_requests -= of_requests;
-  double of_slack = 1 - of_requests;
-  if (of_slack > 0) {
-    this->saved_share = std::max(0.0, this->saved_share - of_slack / this->SlackPart());
+  double spent_from_requests = std::min(this->from_requests, 1.0);
+  this->from_requests -= spent_from_requests;
+  double spent_from_slack = 1 - spent_from_requests;
+  if (spent_from_slack > 0) {
+    this->saved_share = std::max(0.0, this->saved_share - spent_from_slack / this->SlackShare());
   }
   return true;
 }
--- a/src/serving/retry_bucket.h
+++ b/src/serving/retry_bucket.h
@@ -1,26 +1,26 @@
-// How many second attempts this process may make for one service.
+// Limits the retries that this process makes for one service.
 //
-// All entry processes share one bound: in any window, second attempts are at most a ratio
-// of the requests plus a fixed slack.  Without a word between them they keep to it by
-// arithmetic: each process earns the ratio of its own requests and an equal part of the
-// slack, as credit that attempts are taken from.
+// All gateways share one bound: in any window of time, retries are at most a ratio of the requests
+// plus a fixed slack.  They keep to it without communication: each process earns the ratio of its
+// own requests and an equal share of the slack as credit, and each retry spends credit.
 //
-// A process may be killed at any moment, and its successor knows nothing of what it has
-// spent.  So credit that is saved up has to be small against the part of the slack, and a
-// life begins with none:
+// A process may be killed at any moment, and its successor does not know what it has spent.
+// Therefore the credit that can be saved is small compared with the share of the slack, and a
+// process starts with none:
 //
-//   - half of the part of the slack may be saved; the other half flows in over a window;
-//   - each request earns the ratio, up to the ratio of a fifth of a window's requests.
+//   - Half of the share of the slack may be saved; the other half is earned over each window.
+//   - Each request earns the ratio.  At most the ratio of a fifth of a window's requests is saved.
 //
-// In any window, and through any number of restarts, the lives of one process then spend no
-// more than the ratio of the requests of that window, and what was saved at its begin, and
-// what flowed in: the part of the slack, as long as a fifth of a window's requests earns less
-// than half of it.  With the ratio of a whole window of requests, processes that die after
-// seconds of failures would exceed the bound.
+// In any window, and over any number of restarts, the successive processes of one gateway thus
+// spend at most the ratio of the requests in that window, plus the credit saved at its start, plus
+// the credit earned from the slack.  The last two together stay within the share of the slack as
+// long as a fifth of a window's requests earns less than half of that share.  If the ratio of a
+// whole window of requests could be saved, processes that crash after some seconds of failures
+// would exceed the bound.
 //
 //   RetryBucket bucket(bounds, process_started);
 //   bucket.AddRequest(sent, now);
-//   if (!bucket.TakeRetry(now)) ...      // give up instead
+//   if (!bucket.TakeRetry(now)) ...      // do not retry
 
 #ifndef GULLWARD_SERVING_RETRY_BUCKET_H_
 #define GULLWARD_SERVING_RETRY_BUCKET_H_
@@ -32,17 +32,18 @@
 
 namespace gullward {
 
-// Processes that the slack is divided among until it is known how many there are.
+// The number of processes among which the slack is divided until SetProcessCount is called.
 inline constexpr double kAssumedProcesses = 40;
-// Others may start that are not known yet; then this many times the known ones.
+// The known number of processes is multiplied by this, since others may start that are not known
+// yet.
 inline constexpr double kProcessMargin = 1.4;
 
-// What the operator allows for one service.
+// The bound that the operator sets for one service.
 struct RetryBounds {
   Duration window = seconds(10);
-  // Second attempts for each request.
+  // Retries for each request.
   double ratio = 0.2;
-  // For all processes together.
+  // Additional retries in a window, for all processes together.
   double slack = 100;
 
   bool operator==(const RetryBounds&) const = default;
@@ -50,54 +51,56 @@
 
 class RetryBucket {
  public:
-  // Of the part of the slack, how much may be saved.
+  // Share of the process's slack that may be saved.
   static constexpr double kSavedShare = 0.5;
-  // Requests whose ratio may be saved: those of a window divided by this.
-  static constexpr int kSavedPerWindow = 5;
+  // A window is divided into this many periods.  The ratio of the requests of one period may be
+  // saved.
+  static constexpr int kPeriodsPerWindow = 5;
 
-  // `process_started` is when this process began; left out, it has been up for long.
+  // `process_started` is the start of this process; by default it counts as long ago.
   explicit RetryBucket(const RetryBounds& retry_bounds, Time process_started = Time{})
-      : bounds(retry_bounds), filled_at(process_started) {}
+      : bounds(retry_bounds), updated_at(process_started) {}
 
-  // Counts a request that was sent at `sent` at the earliest.  One that waited for a window
-  // or longer to be read, since the process stood still, earns nothing: the bound counts it
-  // where it was sent.
+  // Counts a request that was sent at `sent` at the earliest.  A request that was read a window or
+  // more after it was sent, because the process was suspended, earns nothing: the bound counts it
+  // in the window in which it was sent.
   void AddRequest(Time sent, Time now);
   void AddRequest(Time now) { this->AddRequest(now, now); }
 
-  // Says how many processes there are, this one included.
+  // Sets the number of processes, including this one.
   void SetProcessCount(size_t count) {
-    this->sharers = std::max(1.0, kProcessMargin * static_cast<double>(count));
+    this->processes = std::max(1.0, kProcessMargin * static_cast<double>(count));
   }
 
-  // Takes one retry if there is credit for it.
+  // Spends the credit for one retry.  Returns false if there is not enough.
   bool TakeRetry(Time now);
 
-  // Credit for so many retries.
+  // The credit, in retries.
   double Available(Time now);
 
  private:
-  // Requests of one fifth of a window.
+  // The requests of one period.
   struct Period {
     int64_t number = -1;
     double requests = 0;
   };
 
-  double SlackPart() const { return this->bounds.slack / this->sharers; }
-  double MostSavedSlack() const { return kSavedShare * this->SlackPart(); }
-  double MostSavedOfRequests() const;
+  double SlackShare() const { return this->bounds.slack / this->processes; }
+  double MaxSavedSlack() const { return kSavedShare * this->SlackShare(); }
+  double MaxSavedFromRequests() const;
   void CountRequest(Time now);
-  void Fill(Time now);
+  void EarnSlack(Time now);
 
   RetryBounds bounds;
-  double sharers = kAssumedProcesses;
-  // When the slack last flowed in.
-  Time filled_at;
-  // Of the part of the slack, so that it follows the number of processes.
+  double processes = kAssumedProcesses;
+  // When credit was last earned from the slack.
+  Time updated_at;
+  // Credit from the slack, as a fraction of SlackShare(), so that it follows the number of
+  // processes.
   double saved_share = 0;
   double from_requests = 0;
   Period current;
-  Period before;
+  Period previous;
 };
 
 }  // namespace gullward
--- a/src/serving/serving_config.h
+++ b/src/serving/serving_config.h
@@ -1,7 +1,7 @@
-// What operators have published for the callers' side, as immutable values.
+// The configuration that operators publish for serving requests, as immutable values.
 //
-// A ServingConfig is one version, whole.  It is decoded once (platform/) and
-// never changed afterwards; requests hold the version that admitted them.
+// A ServingConfig holds one complete version.  It is decoded once (platform/) and never changed
+// afterwards.  A request keeps the version that it was admitted with.
 
 #ifndef GULLWARD_SERVING_SERVING_CONFIG_H_
 #define GULLWARD_SERVING_SERVING_CONFIG_H_
@@ -14,17 +14,18 @@
 
 namespace gullward {
 
-// Whether a request may be run again where its outcome is not known.
+// Whether a request may be run again if the outcome of an attempt is unknown.
 enum class Repeat {
-  // It may: running it twice does no harm.
+  // The request may run again: running it twice is harmless.
   kAllowed,
-  // It may not: at most once.
+  // The request must not run again: it runs at most once.
   kNever,
-  // A stream that another engine can take up after the last event passed on.
+  // The answer is a stream, which another engine can resume after the last event that was sent to
+  // the caller.
   kResumeStream,
 };
 
-// A service that a route may send to, and its part of the route's requests.
+// A service that a route sends requests to, and its weight among the route's services.
 struct ServiceShare {
   std::string service;
   double weight = 1;
@@ -32,21 +33,21 @@
   bool operator==(const ServiceShare&) const = default;
 };
 
-// Which requests (by host and path) go to which services, and how.
+// Maps requests, by host and path, to services and states how they are handled.
 struct Route {
   std::string name;
   std::string host;
-  // Begins and ends with a slash; the longest that fits wins.
+  // Begins and ends with a slash.  A request gets the route with the longest matching prefix.
   std::string path_prefix;
   Repeat repeat = Repeat::kNever;
   bool streaming = false;
-  // Longest time that a request may be held, from its arrival.
+  // Maximum time from the arrival of a request to its answer.
   Duration timeout = seconds(10);
-  // An answer (a stream's first event) within this time is worth most.
+  // An answer (for a stream, its first event) within this time has its full value.
   Duration objective = milliseconds(300);
-  // The longest pause between events that is still in time; zero: none stated.
+  // The longest pause between events that counts as in time; zero if not stated.
   Duration longest_pause = Duration(0);
-  // Most engines that one request may be sent to.
+  // Maximum number of engines that one request may be sent to.
   int max_attempts = 1;
   // 0 is the most urgent.
   int priority = 0;
@@ -57,47 +58,47 @@
   bool operator==(const Route&) const = default;
 };
 
-// How fast the model engines of a service work, as their operator states it.
+// The speed of the model engines of a service, as their operator publishes it.
 struct EngineSpeed {
   // Requests that one engine runs at a time.
   int slots = 1;
-  // Tokens of context that one engine holds; 0: not stated.
+  // Tokens of context that fit into one engine's memory; 0 if not stated.
   double memory_tokens = 0;
-  // Milliseconds of one decode step.
+  // Duration of one decode step, in milliseconds.
   double step_ms = 1;
-  // Added to a step for each running request, and for each 1,000 tokens of
-  // its context.
+  // Added to a step for each running request, and for each 1,000 tokens of context.
   double step_ms_per_request = 0;
   double step_ms_per_thousand_context = 0;
-  // How fast a prompt is read, and what each million pairs of its tokens adds.
+  // Tokens of a prompt read in a millisecond, and the time added for each million pairs of its
+  // tokens.
   double prefill_tokens_per_ms = 256;
   double prefill_ms_per_million_pairs = 0;
-  // Decode steps that an engine plays between two looks at its queue.
+  // Decode steps that an engine runs between two checks of its queue.
   int steps_per_pass = 1;
-  // Most prompt tokens that one step reads.
+  // Maximum number of prompt tokens that one step reads.
   double prefill_tokens_per_step = 2048;
-  // Tokens that an answer usually has.
+  // Typical length of an answer, in tokens.
   double usual_answer_tokens = 1000;
-  // Added to a decode step whose context lies on several engines.
+  // Added to a decode step of a request whose context is spread over several engines.
   double remote_step_ms = 0;
 
   bool operator==(const EngineSpeed&) const = default;
 };
 
-// Endpoints of one kind, to which a route may send.
+// The endpoints of one kind, to which a route may send requests.
 struct Service {
   std::string name;
   std::string health_path;
-  // Connections that one engine takes from all callers together.
+  // Maximum number of connections to one engine from all callers together.
   int max_connections = 0;
-  // Whether its engines run models; `speed` holds only then.
+  // Whether the service's engines run models; `speed` is valid only then.
   bool runs_models = false;
   EngineSpeed speed;
 
   bool operator==(const Service&) const = default;
 };
 
-// What callers may send.
+// Bounds on the size and the duration of callers' requests.
 struct CallerLimits {
   uint32_t head_bytes = 16 << 10;
   uint64_t body_bytes = 4 << 20;
@@ -107,23 +108,23 @@
   bool operator==(const CallerLimits&) const = default;
 };
 
-// Who pays for requests, told by the API key that comes with them.
+// The account that a request is charged to, identified by the request's API key.
 struct ClientAccount {
   std::string name;
   std::vector<std::string> api_keys;
-  // Goes before the route's where it is given; -1: not given.
+  // Overrides the route's priority; -1 if not stated.
   int priority = -1;
 
   bool operator==(const ClientAccount&) const = default;
 };
 
-// One published version.
+// One published version of the configuration.
 struct ServingConfig {
   uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<Service> services;
   CallerLimits limits;
-  // Where there are none, no request needs a key.
+  // If there are no accounts, no request needs a key.
   std::vector<ClientAccount> accounts;
 
   bool operator==(const ServingConfig&) const = default;
--- a/src/serving/silence_timeout.h
+++ b/src/serving/silence_timeout.h
@@ -1,16 +1,17 @@
-// How long an engine may be silent before its request is tried elsewhere.
+// Determines how long an engine may be silent before its request is tried on another engine.
 //
-// An engine that has died without closing its connections looks like one that is
-// busy.  So the time for which its next event was expected is taken a few times over,
-// and after that its known load is asked: work to read, or more requests than slots,
-// is reason enough to go on waiting, up to a limit that callers set by leaving.
+// An engine that crashed without closing its connections looks the same as a busy one.  The basic
+// timeout is therefore a multiple of the time in which the next event was expected.  After that
+// the known load of the engine is considered: if it has prompts to read, or more requests than
+// slots, the wait goes on up to a limit that is shorter than the time after which callers give up.
 //
-// A first event that another engine would bring late too is waited for longer still:
-// leaving then throws the reading away and gains nothing unless the engine is dead.
+// The timeout of a first event is longer if another engine could not meet the objective either:
+// then leaving the engine discards the reading that it has done, and gains nothing unless the
+// engine has crashed.
 //
-//   if (silent < PatienceWith(expected_ms)) return;          // nothing to wonder at
-//   if (silent < PatienceForFirst(expected_ms, objective_ms)) return;
-//   if (ExcusesSilence(load, engine.slots, silent)) return;  // busy, by all we know
+//   if (silent < SilenceTimeout(expected_ms)) return;        // not yet late
+//   if (silent < FirstEventTimeout(expected_ms, objective_ms)) return;
+//   if (LoadExplainsSilence(load, engine.slots, silent)) return;
 
 #ifndef GULLWARD_SERVING_SILENCE_TIMEOUT_H_
 #define GULLWARD_SERVING_SILENCE_TIMEOUT_H_
@@ -22,28 +23,29 @@
 
 namespace gullward {
 
-// The shortest silence that makes us try another engine.  Callers give a stream
-// up after two seconds, so there must be time for the other one.
+// The shortest timeout.  Callers give up a stream after two seconds of silence, so time must be
+// left for the other engine.
 inline constexpr Duration kMinSilenceTimeout = milliseconds(900);
-// A first event may take this much longer than expected, and so may a pause.
-inline constexpr double kPatienceFactor = 3;
-// An engine that is known to read may be silent for this much longer than that
-// reading should take, but no longer than callers wait.
+// An event may take this many times the expected time.
+inline constexpr double kSilenceFactor = 3;
+// An engine that is known to be reading may be silent for this many times its reading time, but
+// for no longer than kMaxSilenceTimeout, since callers give up.
 inline constexpr double kReadingFactor = 1.5;
 inline constexpr Duration kMaxSilenceTimeout = milliseconds(1700);
 
-// The silence that needs no excuse where the next event was expected within so long.
+// The basic timeout for an event that was expected within `expected_ms` milliseconds.
 inline Duration SilenceTimeout(double expected_ms) {
-  return std::max<Duration>(FromSeconds(kPatienceFactor * expected_ms / 1000), kMinSilenceTimeout);
+  return std::max<Duration>(FromSeconds(kSilenceFactor * expected_ms / 1000), kMinSilenceTimeout);
 }
 
-// A first event that is late anyway is waited for up to so many times its objective.
-// Callers leave at four times, and another engine needs time too.  Without it prompts whose
-// helpers have newer work to do first would be left and read again from their start.
+// A first event that is late on any engine is waited for up to this many times its objective.
+// Callers give up at four times the objective, and another engine needs time as well.  Without
+// this longer timeout, a prompt whose readers have newer work to do first would be abandoned and
+// read again from its start.
 inline constexpr double kLateObjectives = 2;
 
-// The same for a first event with an objective: where a second engine, left to at the
-// usual time, could not meet it either, the wait is longer.
+// The timeout for a first event with an objective.  It exceeds SilenceTimeout if a second engine
+// that is tried after SilenceTimeout would miss the objective too.
 inline Duration FirstEventTimeout(double expected_ms, double objective_ms) {
   Duration usual = SilenceTimeout(expected_ms);
   bool second_is_in_time = ToSeconds(usual) * 1000 + expected_ms <= objective_ms;
@@ -51,7 +53,7 @@
   return std::max<Duration>(usual, FromSeconds(kLateObjectives * objective_ms / 1000));
 }
 
-// Whether what is known to be on an engine with so many slots explains its silence.
+// Whether the known load explains that an engine with `slots` slots has been silent for `silent`.
 inline bool LoadExplainsSilence(const EngineLoad& load, int slots, Duration silent) {
   if (silent >= kMaxSilenceTimeout) return false;
   bool full = load.requests > slots;
--- a/src/serving/spill.h
+++ b/src/serving/spill.h
@@ -1,19 +1,19 @@
-// Engines outside a gateway's home cell that may take what the cell cannot.
+// Keeps the engines of other cells that their gateways offer for requests from this cell.
 //
-// Traffic is spread over data centres as callers are, not as engines are, and a cell may
-// lose its engines while others idle.  So each gateway tells, twice a second, a few
-// gateways of other cells, drawn by chance, of a few engines of its own cell that have
-// room, with all the work that it knows to be there.  A gateway whose own engines would
-// be late, or would refuse, chooses among the engines that it was told of last.  The
-// gateways of that cell are told of such work as if the chooser were one of them.
+// Callers are spread over data centres differently from engines, and a cell may lose its engines
+// while other cells have idle ones.  Twice a second each gateway therefore sends an offer to a few
+// random gateways of other cells: a few engines of its own cell that have room, with all the load
+// known on them.  A gateway whose home engines would be late or would refuse a request chooses
+// among the engines offered to it most recently.  It reports the resulting work to the gateways of
+// that cell, as if it belonged to the cell.
+//
+// This serves cells in data centres that have more callers than engines can handle.
 //
 //   Spill spill;
-//   spill.Hear("box-40", {"e-7", "e-9"}, now);
+//   spill.ReceiveOffer("box-40", {"e-7", "e-9"}, now);
 //   for (const std::string& engine : spill.Engines(now)) ...
 //
-// It protects a cell whose data centre has more callers than engines.
-//
-// What is kept is bounded: the last kSenders who told, for as long as it holds.
+// Memory is bounded: the offers of the last kMaxSenders senders are kept.
 
 #ifndef GULLWARD_SERVING_SPILL_H_
 #define GULLWARD_SERVING_SPILL_H_
@@ -30,26 +30,28 @@
 
 class Spill {
  public:
-  // Engines that one gateway tells of: as many as fit into one datagram.
-  static constexpr size_t kEnginesTold = 12;
-  // Gateways of other cells that one round tells.
+  // Maximum number of engines in an offer, so that it fits into one datagram.
+  static constexpr size_t kMaxOffered = 12;
+  // Number of gateways of other cells that get an offer in one round.
   static constexpr size_t kReceiversPerRound = 2;
-  // Senders whose word is kept.  Two arrive each half second on the mean.
-  static constexpr size_t kSenders = 3;
+  // Maximum number of senders whose offers are kept.  On average two offers arrive in each half
+  // second.
+  static constexpr size_t kMaxSenders = 3;
 
-  // Takes what a gateway of another cell offers, in place of what it offered before.
-  void Hear(const std::string& peer, std::set<std::string> engines, Time now);
+  // Stores the offer of a gateway of another cell, replacing its previous offer.
+  void ReceiveOffer(const std::string& peer, std::set<std::string> engines, Time now);
 
-  // The engines that are on offer.
+  // The engines on offer, by incarnation.  An offer is valid for LoadTracker::kPeerTimeout.
   std::set<std::string> Engines(Time now) const;
 
  private:
   struct Offer {
     std::string peer;
     std::set<std::string> engines;
-    Time heard;
+    Time received;
   };
 
+  // Oldest first.
   std::vector<Offer> offers;
 };
 
--- a/src/serving/testing/cell_test.cc
+++ b/src/serving/testing/cell_test.cc
@@ -1,4 +1,5 @@
-// Cells: who works on what, who is told of it, and what goes elsewhere.  Without sockets.
+// Tests how a fleet is divided into cells, which peers get reports, and which requests go to
+// engines of other cells.  Runs without sockets.
 
 #define BOOST_TEST_MODULE cell
 #include <boost/test/unit_test.hpp>
@@ -18,7 +19,7 @@
 
 std::string Hall(size_t number) { return "hall-" + std::to_string(number); }
 
-// So many engines, dealt out to data centres in turn.
+// `count` engines, assigned to the data centres in turn.
 std::vector<EngineRecord> Engines(size_t count, size_t data_centres) {
   std::vector<EngineRecord> engines;
   for (size_t i = 0; i < count; ++i) {
@@ -34,7 +35,7 @@
   return pointers;
 }
 
-// Where gateways are many.
+// The cells of a fleet, by default one with many gateways.
 CellMap MapOf(const std::vector<EngineRecord>& engines, size_t gateways = 2700,
               size_t data_centres = 5) {
   std::vector<GatewayName> names;
@@ -49,7 +50,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ASmallFleetIsOneCell) {
-  for (size_t count : {size_t{0}, size_t{1}, size_t{18}, CellMap::kWholeFleet}) {
+  for (size_t count : {size_t{0}, size_t{1}, size_t{18}, CellMap::kMaxUndividedEngines}) {
     std::vector<EngineRecord> engines = Engines(count, 3);
     CellMap cells = MapOf(engines);
     BOOST_TEST(cells.is_whole());
@@ -59,9 +60,9 @@
   }
 }
 
-// From the milestone's size to that of two years on: what a cell holds is bounded, and no
-// engine is left without gateways where there are enough of these.
-BOOST_AUTO_TEST_CASE(WhatACellHoldsDoesNotGrowWithTheFleet) {
+// From a small fleet to a very large one, the number of engines and gateways in a cell is bounded.
+// If there are enough gateways, no cell of engines is without them.
+BOOST_AUTO_TEST_CASE(TheSizeOfACellDoesNotGrowWithTheFleet) {
   struct Row {
     size_t engines;
     size_t gateways;
@@ -80,26 +81,27 @@
     }
     BOOST_TEST_CONTEXT(row.engines << " engines, " << row.gateways << " gateways") {
       for (const auto& [cell, count] : engines_of) {
-        // A hash deals out unevenly.
-        // Where gateways are few, so many engines for each; a cell has two to eight of them.
-        size_t for_few_gateways = 12 * row.engines / row.gateways;
-        BOOST_TEST(count <= std::max(3 * CellMap::kMaxEngines / 2, for_few_gateways));
-        BOOST_TEST(count >= CellMap::kLeastEngines / 2);
+        // The bounds are wider than those of CellMap, since a hash does not divide evenly.  With
+        // few gateways the number of engines for each gateway counts; a cell has two to eight
+        // gateways then.
+        size_t with_few_gateways = 12 * row.engines / row.gateways;
+        BOOST_TEST(count <= std::max(3 * CellMap::kMaxEngines / 2, with_few_gateways));
+        BOOST_TEST(count >= CellMap::kMinAreaEngines / 2);
       }
       for (const auto& [cell, count] : gateways_of) {
         BOOST_TEST(count <= PeerDirectory::kMostAtOnce);
         BOOST_TEST(engines_of.count(cell) == 1u);
       }
-      // No engine is without gateways.
+      // Every cell with engines has gateways.
       for (const auto& [cell, count] : engines_of) {
-        BOOST_TEST(gateways_of[cell] >= CellMap::kLeastGateways);
+        BOOST_TEST(gateways_of[cell] >= CellMap::kMinGateways);
       }
     }
   }
 }
 
-// A process that knows no peer yet works on all of its area, not on a part that might be
-// another's alone.
+// A gateway that has received no list of peers yet works on its whole area.  If it took only a
+// part, the other parts might have no gateway.
 BOOST_AUTO_TEST_CASE(AnAreaIsNotDividedAmongTooFewGateways) {
   for (size_t gateways : {0, 1, 5, 20, 60}) {
     CellMap cells = MapOf(Engines(2999, 5), gateways, /*data_centres=*/1);
@@ -117,12 +119,12 @@
   Cell joined = cells.HomeOf("box", Hall(2));
   BOOST_TEST((joined.area == Hall(0) || joined.area == Hall(1)));
   BOOST_TEST(cells.CellOf(engines[2]).area == joined.area);
-  // One where there is no engine at all is served, too.
+  // Gateways in a data centre without engines belong to an area, too.
   BOOST_TEST(!cells.HomeOf("box", "nowhere").area.empty());
 }
 
-// An engine more or less moves nobody, but where an area is cut in two or joined.
-BOOST_AUTO_TEST_CASE(FewMoveWhenTheFleetChanges) {
+// When engines are added or removed, an engine changes its cell only if cells are split or joined.
+BOOST_AUTO_TEST_CASE(FewEnginesChangeCellsWhenTheFleetChanges) {
   std::vector<EngineRecord> engines = Engines(400, 5);
   CellMap before = MapOf(engines);
   std::vector<EngineRecord> fewer(engines.begin() + 10, engines.end());
@@ -136,27 +138,27 @@
   }
 }
 
-// However many members a cell has, one round tells a bounded number, and three rounds (what
-// was told is forgotten after) tell all of so many.
-BOOST_AUTO_TEST_CASE(NobodyIsLeftOutHoweverManyThereAre) {
+// One round sends reports to a bounded number of peers.  Three rounds reach all of them, and a
+// report is valid for about three rounds.
+BOOST_AUTO_TEST_CASE(ReportsReachAllPeersHoweverManyThereAre) {
   CellMap cells = MapOf(Engines(18, 3));
   Cell home = cells.HomeOf("box-0", Hall(0));
   for (size_t count : {size_t{4}, PeerDirectory::kMostAtOnce, size_t{102}, size_t{140}}) {
     PeerDirectory peers;
     for (size_t i = 1; i <= count; ++i) peers.Update(PeerNumber(i, 3));
-    std::set<std::string> told;
+    std::set<std::string> reached;
     for (int round = 0; round < 3; ++round) {
       std::vector<const Peer*> now = peers.NextOf("pool", cells, home, 1);
       BOOST_TEST(now.size() <= PeerDirectory::kMostAtOnce);
-      for (const Peer* peer : now) told.insert(peer->box);
+      for (const Peer* peer : now) reached.insert(peer->box);
       peers.BeginRound();
     }
-    BOOST_TEST(told.size() == count);
+    BOOST_TEST(reached.size() == count);
     BOOST_TEST((peers.untold() > 0) == (count > PeerDirectory::kMostAtOnce));
   }
 }
 
-BOOST_AUTO_TEST_CASE(MembersFollowTheListAndThePeers) {
+BOOST_AUTO_TEST_CASE(PeersOfTheHomeCellFollowTheList) {
   std::vector<EngineRecord> engines = Engines(150, 5);
   CellMap cells = MapOf(engines);
   PeerDirectory peers;
@@ -193,13 +195,13 @@
 // Fills every engine of the home cell.
 void FillHome(Fleet* fleet) {
   std::map<std::string, EngineLoad> loads;
-  for (const HomeEngine& engine : fleet->plan(kStart).ForService("pool").engines) {
+  for (const PlannedEngine& engine : fleet->plan(kStart).ForService("pool").engines) {
     loads[engine.incarnation] = FullLoad();
   }
   fleet->loads().ApplyPeer("box-1", 1, 1, loads, kStart);
 }
 
-BOOST_AUTO_TEST_CASE(ADecisionLooksAtTheHomeCellOnly) {
+BOOST_AUTO_TEST_CASE(AChoicePricesTheHomeCellOnly) {
   Fleet fleet = FleetOf(Engines(150, 5));
   std::optional<FleetChoice> choice = fleet.Choose(kPool, {}, {}, kStart);
   BOOST_REQUIRE(choice.has_value());
@@ -211,30 +213,30 @@
   BOOST_TEST(whole.Choose(kPool, {}, {}, kStart)->candidates == 150u);
 }
 
-BOOST_AUTO_TEST_CASE(WhatTheHomeCellWouldServeLateGoesToEnginesOnOffer) {
+BOOST_AUTO_TEST_CASE(ARequestThatTheHomeCellWouldServeLateGoesToAnOfferedEngine) {
   for (bool spill : {true, false}) {
     Mechanisms mechanisms;
     mechanisms.spill = spill;
     Fleet fleet = FleetOf(Engines(150, 5), mechanisms);
     FillHome(&fleet);
-    // Without an offer it stays, since nothing is known of the others.
+    // Without an offer the request stays in the home cell, since the load elsewhere is unknown.
     BOOST_TEST(!fleet.Choose(kPool, {}, {}, kStart)->spilled);
     Fleet offering(RetryBounds{}, "box-9", Hall(1));
     for (const EngineRecord& engine : Engines(150, 5)) offering.directory().Update(engine);
     std::map<std::string, EngineLoad> offer = offering.EnginesToOffer(kStart);
-    BOOST_TEST(offer.size() == Spill::kEnginesTold);
+    BOOST_TEST(offer.size() == Spill::kMaxOffered);
     fleet.ReceiveOffer("box-9", 1, 1, offer, kStart);
     std::optional<FleetChoice> choice = fleet.Choose(kPool, {}, {}, kStart);
     BOOST_TEST(choice->spilled == spill);
     BOOST_TEST((choice->engine.data_centre == Hall(1)) == spill);
-    // What was offered long ago is known no longer.
+    // An offer expires.
     Time later = kStart + LoadTracker::kPeerTimeout + milliseconds(1);
     FillHome(&fleet);
     BOOST_TEST(!fleet.Choose(kPool, {}, {}, later)->spilled);
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhereTheHomeCellHasNoEngineLeftAnyOtherWillDo) {
+BOOST_AUTO_TEST_CASE(AnyEngineIsChosenIfTheHomeCellHasNone) {
   std::vector<EngineRecord> engines = Engines(150, 5);
   Fleet fleet = FleetOf(engines);
   std::set<std::string> tried;
@@ -252,31 +254,31 @@
   BOOST_TEST(choice->engine.data_centre != Hall(0));
 }
 
-// Gateways that have read the list at different moments may offer each other the same
-// engines; the work there is not counted twice.
-BOOST_AUTO_TEST_CASE(AnOfferOfHomeEnginesSaysNothing) {
+// Gateways that have read the list at different times may offer engines that the receiver has in
+// its own home cell.  The work on these must not be counted twice.
+BOOST_AUTO_TEST_CASE(AnOfferOfHomeEnginesIsIgnored) {
   Fleet fleet = FleetOf(Engines(150, 5));
   const std::string home = fleet.plan(kStart).ForService("pool").engines.front().incarnation;
   fleet.ReceiveOffer("box-9", 1, 1, {{home, FullLoad()}}, kStart);
   BOOST_TEST((fleet.loads().LoadOn(home, kStart) == EngineLoad{}));
 }
 
-// What is kept of peers' words is bounded by what is current, not by all that was ever said.
-BOOST_AUTO_TEST_CASE(WordsOfPeersAreForgotten) {
-  LoadTracker book;
+// The number of stored reports is bounded by the current ones, not by all that were received.
+BOOST_AUTO_TEST_CASE(ReportsOfPeersExpire) {
+  LoadTracker tracker;
   Time now = kStart;
   for (size_t i = 0; i < 1000; ++i) {
     std::string engine = "e-" + std::to_string(i);
-    book.ApplyPeer("box-" + std::to_string(i % 7), 1, i + 1, {{engine, FullLoad()}}, now);
+    tracker.ApplyPeer("box-" + std::to_string(i % 7), 1, i + 1, {{engine, FullLoad()}}, now);
     now += milliseconds(100);
-    book.ForgetSilent(now);
-    BOOST_REQUIRE(book.peer_entries() <= 17u);
+    tracker.ForgetExpired(now);
+    BOOST_REQUIRE(tracker.peer_entries() <= 17u);
   }
-  book.ForgetSilent(now + seconds(2));
-  BOOST_TEST(book.peer_entries() == 0u);
+  tracker.ForgetExpired(now + seconds(2));
+  BOOST_TEST(tracker.peer_entries() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(AGatewaysEntryIsReadAsItWasWritten) {
+BOOST_AUTO_TEST_CASE(AGatewayEntryDecodesAsEncoded) {
   Peer peer{"box-2", {"10.1.0.4", 7340}, "hall-1"};
   BOOST_TEST((DecodeGatewayEntry("box-2", EncodeGatewayEntry(peer)) == std::optional<Peer>(peer)));
   for (const std::string& value :
--- a/src/serving/testing/engine_notices_test.cc
+++ b/src/serving/testing/engine_notices_test.cc
@@ -1,4 +1,4 @@
-// What is kept of engines' notices, for how long, and what takes them back.
+// Tests which notices of engines are stored, for how long, and how they are withdrawn and reported.
 
 #define BOOST_TEST_MODULE engine_notices
 #include "serving/engine_notices.h"
@@ -22,12 +22,11 @@
 EngineNotice Limit(double per_s) { return {.limit_per_s = per_s}; }
 EngineNotice Rest(Duration rest) { return {.rest = rest}; }
 
-// Answers pass one another on the way, so an answer without a limit may be older than the
-// limit.
-BOOST_AUTO_TEST_CASE(ALimitHoldsUntilALaterRequestsAnswerNamesNone) {
+// Answers may overtake one another, so an answer without a limit may be older than the limit.
+BOOST_AUTO_TEST_CASE(ALimitHoldsUntilTheAnswerToALaterRequestNamesNone) {
   struct Answer {
     int sent_ms;
-    int came_ms;
+    int arrived_ms;
     EngineNotice notice;
   };
   struct Row {
@@ -53,19 +52,19 @@
   for (const Row& row : table) {
     EngineNotices notices;
     for (const Answer& answer : row.answers) {
-      notices.Receive(kEngine, answer.notice, At(answer.sent_ms), At(answer.came_ms));
+      notices.Receive(kEngine, answer.notice, At(answer.sent_ms), At(answer.arrived_ms));
     }
     BOOST_TEST((notices.LimitOf(kEngine) == row.limit), row.name);
   }
 }
 
-BOOST_AUTO_TEST_CASE(LeavingHoldsForTheLifeOfTheEngine) {
+BOOST_AUTO_TEST_CASE(LeavingHoldsForTheIncarnation) {
   EngineNotices notices;
   notices.Receive(kEngine, kLeaving, At(0), At(10));
   notices.Receive(kEngine, kNothing, At(20), At(30));
   BOOST_TEST(notices.IsLeaving(kEngine));
   BOOST_TEST(!notices.IsLeaving("i-7@1764720009999"));
-  // Off the list and back on it.
+  // The engine drops off the list and returns to it.
   notices.Forget({}, At(1000));
   BOOST_TEST(notices.IsLeaving(kEngine));
   notices.Forget({kEngine}, At(2000));
@@ -78,7 +77,7 @@
 BOOST_AUTO_TEST_CASE(APauseHoldsUntilItsEnd) {
   EngineNotices notices;
   BOOST_TEST(notices.Receive(kEngine, Rest(seconds(3)), At(0), At(10)).rest);
-  // A shorter one that is asked for meanwhile does not shorten it.
+  // A shorter pause that is asked for later does not shorten the first one.
   BOOST_TEST(!notices.Receive(kEngine, Rest(seconds(1)), At(0), At(20)).rest);
   notices.Receive(kEngine, kNothing, At(30), At(40));
   BOOST_TEST((notices.RestLeft(kEngine, At(10)) == seconds(3)));
@@ -88,7 +87,7 @@
   BOOST_TEST(!notices.Has(kEngine));
 }
 
-BOOST_AUTO_TEST_CASE(ChangesAreToldOnce) {
+BOOST_AUTO_TEST_CASE(EachChangeIsReturnedOnce) {
   EngineNotices notices;
   using Change = EngineNotices::Change;
   BOOST_TEST((notices.Receive(kEngine, kNothing, At(0), At(1)) == Change{}));
@@ -99,72 +98,74 @@
   BOOST_TEST((notices.Receive(kEngine, kLeaving, At(8), At(9)) == Change{}));
 }
 
-bool Nobody(const std::string&) { return false; }
-bool Everybody(const std::string&) { return true; }
+bool NoSharer(const std::string&) { return false; }
+bool EverySharer(const std::string&) { return true; }
 
-NoticeReport WordOf(std::optional<double> per_s, Duration age) {
+NoticeReport ReportOf(std::optional<double> per_s, Duration age) {
   return {.limit = LimitReport{per_s, age}};
 }
 
-// Words of other gateways come in any order, and are about different moments.
-BOOST_AUTO_TEST_CASE(OfALimitTheLatestIsBelievedWhoeverTellsIt) {
+// Reports of other gateways may arrive in any order.
+BOOST_AUTO_TEST_CASE(TheLatestReportOfALimitIsAppliedInAnyOrder) {
   struct Row {
     const char* name;
-    std::vector<NoticeReport> words;
+    std::vector<NoticeReport> reports;
     std::optional<double> limit;
   };
   const Row table[] = {
-      {"told", {WordOf(3, seconds(1))}, 3},
-      {"lifted since", {WordOf(3, seconds(2)), WordOf(std::nullopt, seconds(1))}, std::nullopt},
-      {"lifted before", {WordOf(3, seconds(1)), WordOf(std::nullopt, seconds(2))}, 3},
-      {"lifted, then an old word",
-       {WordOf(3, seconds(3)), WordOf(std::nullopt, seconds(1)), WordOf(3, seconds(2))},
+      {"reported", {ReportOf(3, seconds(1))}, 3},
+      {"lifted since", {ReportOf(3, seconds(2)), ReportOf(std::nullopt, seconds(1))}, std::nullopt},
+      {"lifted before", {ReportOf(3, seconds(1)), ReportOf(std::nullopt, seconds(2))}, 3},
+      {"lifted, then an old report",
+       {ReportOf(3, seconds(3)), ReportOf(std::nullopt, seconds(1)), ReportOf(3, seconds(2))},
        std::nullopt},
-      {"too old", {WordOf(3, EngineNotices::kOldestWord + seconds(1))}, std::nullopt},
-      {"lifted, nothing known", {WordOf(std::nullopt, seconds(1))}, std::nullopt},
+      {"too old", {ReportOf(3, EngineNotices::kMaxReportAge + seconds(1))}, std::nullopt},
+      {"lifted, nothing known", {ReportOf(std::nullopt, seconds(1))}, std::nullopt},
   };
   for (const Row& row : table) {
     EngineNotices notices;
-    for (const NoticeReport& word : row.words) notices.ReceiveReport(kEngine, word, At(60'000));
+    for (const NoticeReport& report : row.reports)
+      notices.ReceiveReport(kEngine, report, At(60'000));
     BOOST_TEST((notices.LimitOf(kEngine) == row.limit), row.name);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ChangesAreToldOnAtOnceAndSharersTellAgain) {
+BOOST_AUTO_TEST_CASE(ChangesAreReportedAtOnceAndRepeatedBySharers) {
   EngineNotices notices;
   notices.Receive(kEngine, Limit(2), At(0), At(100));
-  auto words = notices.ReportsToSend(/*all=*/false, Nobody, At(150));
-  BOOST_REQUIRE(words.count(kEngine) == 1u);
-  BOOST_TEST((words[kEngine] == WordOf(2, milliseconds(50))));
-  BOOST_TEST(notices.ReportsToSend(false, Everybody, At(160)).empty());
-  // Once more in a round, in case that it was lost; then by those who share the limit.
-  BOOST_TEST(notices.ReportsToSend(true, Nobody, At(2000)).size() == 1u);
-  BOOST_TEST(notices.ReportsToSend(true, Nobody, At(5000)).empty());
-  BOOST_TEST(notices.ReportsToSend(true, Everybody, At(5000)).size() == 1u);
-  // Its end too.
+  auto reports = notices.ReportsToSend(/*all=*/false, NoSharer, At(150));
+  BOOST_REQUIRE(reports.count(kEngine) == 1u);
+  BOOST_TEST((reports[kEngine] == ReportOf(2, milliseconds(50))));
+  BOOST_TEST(notices.ReportsToSend(false, EverySharer, At(160)).empty());
+  // It is sent once more in a round, in case the first report was lost, and after that by the
+  // gateways that share the limit.
+  BOOST_TEST(notices.ReportsToSend(true, NoSharer, At(2000)).size() == 1u);
+  BOOST_TEST(notices.ReportsToSend(true, NoSharer, At(5000)).empty());
+  BOOST_TEST(notices.ReportsToSend(true, EverySharer, At(5000)).size() == 1u);
+  // That the limit was lifted is reported too.
   notices.Receive(kEngine, kNothing, At(6000), At(6100));
-  words = notices.ReportsToSend(false, Nobody, At(6100));
-  BOOST_TEST((words[kEngine] == WordOf(std::nullopt, milliseconds(100))));
-  // What others told is not told on by whoever has no share.
+  reports = notices.ReportsToSend(false, NoSharer, At(6100));
+  BOOST_TEST((reports[kEngine] == ReportOf(std::nullopt, milliseconds(100))));
+  // A gateway without a share does not pass on the reports of others.
   EngineNotices other;
-  other.ReceiveReport(kEngine, WordOf(2, seconds(1)), At(0));
-  BOOST_TEST(other.ReportsToSend(true, Nobody, At(100)).empty());
+  other.ReceiveReport(kEngine, ReportOf(2, seconds(1)), At(0));
+  BOOST_TEST(other.ReportsToSend(true, NoSharer, At(100)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(ThatAnEngineLeavesIsToldAndHoldsForGood) {
+BOOST_AUTO_TEST_CASE(LeavingIsReportedAndPermanent) {
   EngineNotices notices;
   notices.Receive(kEngine, kLeaving, At(0), At(100));
   BOOST_TEST(!notices.Admits(kEngine, 1, At(100)));
   BOOST_TEST(!notices.TimeUntilAdmission(kEngine, 1, At(100)).has_value());
-  auto words = notices.ReportsToSend(/*all=*/false, Nobody, At(150));
-  BOOST_TEST((words[kEngine] == NoticeReport{.leaving = true}));
+  auto reports = notices.ReportsToSend(/*all=*/false, NoSharer, At(150));
+  BOOST_TEST((reports[kEngine] == NoticeReport{.leaving = true}));
   EngineNotices other;
-  BOOST_TEST((other.ReceiveReport(kEngine, words[kEngine], At(160)) ==
+  BOOST_TEST((other.ReceiveReport(kEngine, reports[kEngine], At(160)) ==
               EngineNotices::Change{.leaving = true}));
   BOOST_TEST(!other.Admits(kEngine, 1, At(100'000)));
 }
 
-BOOST_AUTO_TEST_CASE(WordsTravelUnchanged) {
+BOOST_AUTO_TEST_CASE(ReportsDecodeAsEncoded) {
   LoadDigest digest;
   digest.box = "box-1";
   digest.notices = {{"i-1", {LimitReport{2.5, milliseconds(40)}, false}},
@@ -175,7 +176,7 @@
   BOOST_TEST((*read == digest));
 }
 
-BOOST_AUTO_TEST_CASE(ALimitAdmitsWhatTheShareEarns) {
+BOOST_AUTO_TEST_CASE(ALimitAdmitsRequestsByTheShare) {
   EngineNotices notices;
   BOOST_TEST(notices.Admits(kEngine, 0, At(0)));
   notices.Receive(kEngine, Limit(2), At(0), At(0));
@@ -184,14 +185,14 @@
   BOOST_TEST(notices.Admits(kEngine, 0.5, At(1000)));
   notices.NoteSent(kEngine, 0.5, At(1000));
   BOOST_TEST(!notices.Admits(kEngine, 0.5, At(1001)));
-  // Without a share nothing is known of when.
+  // Without a share the time of the next admission is unknown.
   BOOST_TEST(!notices.Admits(kEngine, 0, At(9000)));
   BOOST_TEST(!notices.TimeUntilAdmission(kEngine, 0, At(9000)).has_value());
   notices.Receive(kEngine, kNothing, At(9001), At(9002));
   BOOST_TEST(notices.Admits(kEngine, 0, At(9003)));
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineThatTakesNothingIsAskedNowAndThen) {
+BOOST_AUTO_TEST_CASE(AnEngineWithALimitOfZeroGetsARequestNowAndThen) {
   EngineNotices notices;
   notices.Receive(kEngine, Limit(0), At(0), At(0));
   BOOST_TEST(!notices.Admits(kEngine, 1, At(0)));
@@ -199,14 +200,14 @@
   BOOST_TEST(notices.Admits(kEngine, 1, At(10'000)));
 }
 
-BOOST_AUTO_TEST_CASE(MemoryIsBoundedAndWhatIsDroppedIsCounted) {
+BOOST_AUTO_TEST_CASE(MemoryIsBoundedAndDroppedEnginesAreCounted) {
   EngineNotices notices;
   for (size_t i = 0; i <= EngineNotices::kCapacity; ++i) {
     notices.Receive(absl::StrCat("i-", i), kLeaving, At(0), At(static_cast<int>(i)));
   }
   BOOST_TEST(notices.leaving() == EngineNotices::kCapacity);
   BOOST_TEST(notices.forgotten() == 1u);
-  // The one heard of longest ago.
+  // The engine that was updated least recently was dropped.
   BOOST_TEST(!notices.IsLeaving("i-0"));
   BOOST_TEST(notices.IsLeaving("i-1"));
 }
--- a/src/serving/testing/limit_share_test.cc
+++ b/src/serving/testing/limit_share_test.cc
@@ -1,4 +1,5 @@
-// The parts of a limit, the credit for them, and who counts as silent.
+// Tests how a limit is divided among gateways, the credit that follows from a share, and which
+// gateways count as silent.
 
 #define BOOST_TEST_MODULE limit_share
 #include "serving/limit_share.h"
@@ -30,7 +31,7 @@
   return boxes;
 }
 
-// What each of the gateways works out for itself.
+// The shares that the gateways compute, each for itself; those of zero are left out.
 std::map<std::string, double> Shares(const std::string& engine,
                                      const std::vector<std::string>& boxes) {
   std::map<std::string, double> shares;
@@ -41,7 +42,7 @@
   return shares;
 }
 
-BOOST_AUTO_TEST_CASE(PartsAddUpToTheWholeAtEverySize) {
+BOOST_AUTO_TEST_CASE(SharesAddUpToOneAtEverySize) {
   for (size_t count : {1, 2, 5, 6, 30, 100, 300}) {
     for (int i = 0; i < 20; ++i) {
       std::map<std::string, double> shares = Shares(absl::StrCat("i-", i), Boxes(count));
@@ -53,8 +54,8 @@
   }
 }
 
-// Engines fall to all gateways alike.
-BOOST_AUTO_TEST_CASE(NoGatewayHasManyMoreThanItsPart) {
+// All gateways share the limits of about the same number of engines.
+BOOST_AUTO_TEST_CASE(NoGatewayHasTwiceItsShareOfEngines) {
   std::map<std::string, int> engines_of;
   constexpr int kEngines = 1000;
   for (int i = 0; i < kEngines; ++i) {
@@ -66,8 +67,8 @@
   for (const auto& [box, count] : engines_of) BOOST_TEST(count <= 2 * kEngines * 5 / 50);
 }
 
-// One that comes or goes changes at most one of an engine's sharers.
-BOOST_AUTO_TEST_CASE(AGatewayMoreChangesOneSharerAtMost) {
+// A gateway that starts or stops changes at most one of an engine's sharers.
+BOOST_AUTO_TEST_CASE(OneMoreGatewayChangesAtMostOneSharer) {
   std::vector<std::string> boxes = Boxes(30);
   for (int i = 0; i < 50; ++i) {
     std::string engine = absl::StrCat("i-", i);
@@ -80,8 +81,8 @@
   }
 }
 
-// However requests come, an engine that all sharers send to gets no more in any four seconds
-// than five and five times its limit; counted the slow way.
+// However requests arrive, an engine to which all sharers send gets at most 5 + 5 * limit requests
+// in any four seconds.  The test counts the requests in each window.
 BOOST_AUTO_TEST_CASE(CreditKeepsToTheBoundInAnyWindow) {
   constexpr Duration kWindow = seconds(4);
   for (double limit : {0.5, 1.5, 2.5, 20.0}) {
@@ -90,52 +91,53 @@
       std::exponential_distribution<double> pause(seed % 2 == 0 ? 100 : 3 * limit);
       std::vector<LimitCredit> sharers(kSharers);
       std::deque<Time> arrivals;
-      size_t most = 0;
+      size_t max_arrivals = 0;
       Time now = kStart;
       while (now < kStart + seconds(60)) {
-        // Long pauses, in which all save, and bursts.
+        // Bursts, with long pauses in which all sharers save credit.
         now += random() % 200 == 0 ? seconds(6) : FromSeconds(pause(random));
         LimitCredit& credit = sharers[random() % sharers.size()];
-        if (credit.Left(limit / kSharers, now) < 1) continue;
+        if (credit.Available(limit / kSharers, now) < 1) continue;
         credit.Take();
         arrivals.push_back(now);
         while (now - arrivals.front() >= kWindow) arrivals.pop_front();
-        most = std::max(most, arrivals.size());
+        max_arrivals = std::max(max_arrivals, arrivals.size());
       }
-      BOOST_TEST(static_cast<double>(most) <= 5 + 5 * limit, limit << " a second, seed " << seed);
+      BOOST_TEST(static_cast<double>(max_arrivals) <= 5 + 5 * limit,
+                 limit << " a second, seed " << seed);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(CreditBeginsWithNoneAndARateThatRoseCountsFromThenOn) {
+BOOST_AUTO_TEST_CASE(CreditStartsAtZeroAndAnIncreasedRateAppliesFromThenOn) {
   LimitCredit credit;
-  BOOST_TEST(credit.Left(1, kStart) == 0);
-  BOOST_TEST((credit.UntilOne() == seconds(1)));
-  BOOST_TEST(credit.Left(1, kStart + seconds(1)) == 1);
-  BOOST_TEST((credit.UntilOne() == Duration::zero()));
+  BOOST_TEST(credit.Available(1, kStart) == 0);
+  BOOST_TEST((credit.TimeUntilOne() == seconds(1)));
+  BOOST_TEST(credit.Available(1, kStart + seconds(1)) == 1);
+  BOOST_TEST((credit.TimeUntilOne() == Duration::zero()));
   credit.Take();
-  // For how long the rate has been 10 is not known.
-  BOOST_TEST(credit.Left(10, kStart + seconds(2)) == 1);
-  // Whose part has passed on to another has nothing saved when it comes back.
-  BOOST_TEST(credit.Left(0, kStart + seconds(3)) == 0);
-  BOOST_TEST((credit.UntilOne() == Duration::max()));
-  BOOST_TEST(credit.Left(1, kStart + seconds(9)) == 0);
+  // It is unknown for how long the rate has been 10.
+  BOOST_TEST(credit.Available(10, kStart + seconds(2)) == 1);
+  // A gateway that loses its share also loses its saved credit.
+  BOOST_TEST(credit.Available(0, kStart + seconds(3)) == 0);
+  BOOST_TEST((credit.TimeUntilOne() == Duration::max()));
+  BOOST_TEST(credit.Available(1, kStart + seconds(9)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(WhoIsNotHeardOfIsSilentUnlessMostAre) {
+BOOST_AUTO_TEST_CASE(APeerThatSendsNothingIsSilentUnlessMostDo) {
   PeerLiveness liveness;
   std::vector<std::string> boxes = Boxes(4);
   auto silent_at = [&](Duration after) { return liveness.Silent(boxes, kStart + after); };
-  // Nobody before there was time to hear of them.
+  // At the start no gateway is silent, since none has had time to send.
   BOOST_TEST(silent_at(seconds(0)).empty());
   for (const char* box : {"box-0", "box-1", "box-2"}) liveness.Hear(box, kStart + seconds(4));
   BOOST_TEST((silent_at(PeerLiveness::kSilence) == std::set<std::string>{"box-3"}));
-  // Three of four: the fault is here.
+  // If three of four peers send nothing, the fault is this gateway's own.
   liveness.Hear("box-0", kStart + seconds(10));
   BOOST_TEST(silent_at(seconds(11)).empty());
   for (const std::string& box : boxes) liveness.Hear(box, kStart + seconds(12));
   BOOST_TEST(silent_at(seconds(13)).empty());
-  // One that is new is not silent yet.
+  // A new peer is not silent yet.
   boxes.push_back("box-9");
   BOOST_TEST(silent_at(seconds(14)).empty());
 }
