--- a/src/serving/testing/placement_test.cc
+++ b/src/serving/testing/placement_test.cc
@@ -1,5 +1,5 @@
-// Where requests go: shorts are packed, vast prompts keep away from streams, memory
-// is never promised twice.
+// Tests that short requests are packed, that very long prompts are read away from streams, and that
+// memory is not assigned twice.
 
 #define BOOST_TEST_MODULE placement
 #include "serving/placement.h"
@@ -11,7 +11,7 @@
 namespace gullward {
 namespace {
 
-// Figures that a user's operator publishes.
+// Values as one user's operator publishes them.
 EngineSpeed Speed() {
   EngineSpeed speed;
   speed.slots = 16;
@@ -47,18 +47,18 @@
 }
 
 Demand Short() { return {5000, 1600, 300, 200, false, std::nullopt}; }
-Demand Vast(double tokens) { return {tokens, 800, 3000, 800, false, std::nullopt}; }
+Demand VeryLong(double tokens) { return {tokens, 800, 3000, 800, false, std::nullopt}; }
 
-// The bench's engine read 207,491 tokens on two engines in 1,452 ms and 148,422 on
-// one in 1,663 ms, each alone (journal: the trial day of lone prompts).
-BOOST_AUTO_TEST_CASE(LonePromptsTakeWhatTheBenchSaw) {
+// In measurements of single prompts on idle engines, two engines read 207,491 tokens in 1,452 ms,
+// and one engine read 148,422 tokens in 1,663 ms.
+BOOST_AUTO_TEST_CASE(ReadingTimeMatchesMeasurements) {
   EngineSpeed speed = Speed();
   BOOST_TEST(ReadingMs(speed, 148'422) + 46 * 0.925 == 1663, boost::test_tools::tolerance(0.03));
   BOOST_TEST(ReadingMs(speed, 207'491) / 2 + 46 * 0.925 == 1452,
              boost::test_tools::tolerance(0.03));
 }
 
-BOOST_AUTO_TEST_CASE(ShortsArePackedOnTheSameEngineUntilItIsNearlyFull) {
+BOOST_AUTO_TEST_CASE(ShortRequestsArePackedOnOneEngineUntilItIsNearlyFull) {
   std::vector<Candidate> engines = Engines(6);
   for (int i = 0; i < 12; ++i) {
     Placement placement = Choose(engines, Speed(), Short());
@@ -70,29 +70,30 @@
   BOOST_TEST(Choose(engines, Speed(), Short()).engines.front() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(VastPromptsAreReadAwayFromStreams) {
+BOOST_AUTO_TEST_CASE(VeryLongPromptsAreReadAwayFromStreams) {
   std::vector<Candidate> engines = Engines(8);
   AddStreams(&engines[0], 10);
   AddStreams(&engines[1], 10);
-  Placement placement = Choose(engines, Speed(), Vast(210'000));
+  Placement placement = Choose(engines, Speed(), VeryLong(210'000));
   BOOST_TEST(placement.engines.size() > 1u);
   for (size_t engine : placement.engines) BOOST_TEST(engine > 1u);
   BOOST_TEST(placement.first_event_ms < 3000);
 }
 
-// One engine writes a vast answer.  The next vast prompt joins it there and is read by
-// engines that have no stream; by the price alone it would go to the far end of the order.
-BOOST_AUTO_TEST_CASE(StreamsAreKeptTogetherAndReadersFreeOfThem) {
+// Two engines each write the answer to a very long prompt.  The next such prompt runs on one of
+// them and is read by engines that have no streams.  By the cost alone it would run on the last
+// engine of the order.
+BOOST_AUTO_TEST_CASE(StreamsAreGatheredAndReadersHaveNone) {
   std::vector<Candidate> engines = Engines(8);
   for (size_t writes : {2u, 5u}) {
     engines[writes].load.requests = engines[writes].load.writers = 1;
     engines[writes].load.context_tokens = 150'000;
     engines[writes].load.streams = {{800, 1, 150'000}};
   }
-  PlacementOptions by_price;
-  by_price.gather_streams = false;
-  Demand prompt = Vast(110'000);
-  BOOST_TEST(Choose(engines, Speed(), prompt, by_price).engines.front() == 7u);
+  PlacementOptions by_cost;
+  by_cost.gather_streams = false;
+  Demand prompt = VeryLong(110'000);
+  BOOST_TEST(Choose(engines, Speed(), prompt, by_cost).engines.front() == 7u);
   Placement placement = Choose(engines, Speed(), prompt);
   BOOST_TEST(placement.engines.front() == 5u);
   BOOST_TEST_REQUIRE(placement.engines.size() > 1u);
@@ -100,49 +101,49 @@
   for (size_t i = 1; i < placement.engines.size(); ++i) BOOST_TEST(placement.engines[i] != 2u);
 }
 
-BOOST_AUTO_TEST_CASE(AVastPromptMayQueueBehindAnotherRatherThanStopStreams) {
+BOOST_AUTO_TEST_CASE(AVeryLongPromptMayQueueBehindAnotherInsteadOfPausingStreams) {
   std::vector<Candidate> engines = Engines(2);
   AddStreams(&engines[0], 12);
   engines[1].load.requests = 1;
   engines[1].load.reading_ms = 2500;
-  Placement placement = Choose(engines, Speed(), Vast(400'000));
+  Placement placement = Choose(engines, Speed(), VeryLong(400'000));
   BOOST_TEST(placement.engines.size() == 1u);
   BOOST_TEST(placement.engines.front() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(MemoryIsSpreadOverReadersAndNeverPromisedTwice) {
+BOOST_AUTO_TEST_CASE(MemoryIsSpreadOverReadersAndNotAssignedTwice) {
   std::vector<Candidate> engines = Engines(4);
-  Placement placement = Choose(engines, Speed(), Vast(900'000));
+  Placement placement = Choose(engines, Speed(), VeryLong(900'000));
   BOOST_TEST(placement.spreads_memory);
   double total = placement.memory_tokens * static_cast<double>(placement.engines.size());
   BOOST_TEST(total >= 900'800);
   BOOST_TEST(placement.memory_tokens <= 450'000);
-  // One engine alone can never hold it.
-  BOOST_TEST(Choose(Engines(1), Speed(), Vast(900'000)).engines.empty());
-  // An engine whose memory is taken is avoided.
+  // One engine alone has too little memory.
+  BOOST_TEST(Choose(Engines(1), Speed(), VeryLong(900'000)).engines.empty());
+  // An engine whose memory is in use is avoided.
   engines[3].load.context_tokens = 440'000;
-  Placement other = Choose(engines, Speed(), Vast(250'000));
+  Placement other = Choose(engines, Speed(), VeryLong(250'000));
   BOOST_TEST(other.engines.front() != 3u);
 }
 
 BOOST_AUTO_TEST_CASE(WithoutSpreadingAPromptIsReadByOneEngine) {
   std::vector<Candidate> engines = Engines(4);
-  BOOST_TEST(Choose(engines, Speed(), Vast(250'000)).engines.size() > 1u);
+  BOOST_TEST(Choose(engines, Speed(), VeryLong(250'000)).engines.size() > 1u);
   PlacementOptions alone;
   alone.spread_reading = false;
-  BOOST_TEST(Choose(engines, Speed(), Vast(250'000), alone).engines.size() == 1u);
-  // What no one engine can hold finds none.
-  BOOST_TEST(Choose(engines, Speed(), Vast(900'000), alone).engines.empty());
+  BOOST_TEST(Choose(engines, Speed(), VeryLong(250'000), alone).engines.size() == 1u);
+  // A prompt that exceeds the memory of one engine finds no engine.
+  BOOST_TEST(Choose(engines, Speed(), VeryLong(900'000), alone).engines.empty());
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineThatFailsIsAvoided) {
+BOOST_AUTO_TEST_CASE(AFailingEngineIsAvoided) {
   std::vector<Candidate> engines = Engines(3);
   engines[0].failure_rate = 0.6;
   BOOST_TEST(Choose(engines, Speed(), Short()).engines.front() != 0u);
   BOOST_TEST(ChooseLeastLoaded(engines).engines.front() != 0u);
 }
 
-BOOST_AUTO_TEST_CASE(ShortsAreRefusedOnlyWhereEverySlotIsTaken) {
+BOOST_AUTO_TEST_CASE(ShortRequestsAreRefusedOnlyIfAllSlotsAreInUse) {
   std::vector<Candidate> engines = Engines(3);
   for (Candidate& engine : engines) AddStreams(&engine, 15);
   BOOST_TEST(!ShouldRefuse(Choose(engines, Speed(), Short()), Short()));
@@ -150,19 +151,19 @@
   BOOST_TEST(ShouldRefuse(Choose(engines, Speed(), Short()), Short()));
 }
 
-BOOST_AUTO_TEST_CASE(AVastPromptIsPutOffWhereItCostsOthersMoreThanItEarns) {
+BOOST_AUTO_TEST_CASE(AVeryLongPromptIsRefusedIfItsCostToOthersExceedsItsValue) {
   std::vector<Candidate> busy = Engines(3);
   for (Candidate& engine : busy) AddStreams(&engine, 12);
-  Demand first = Vast(560'000);
+  Demand first = VeryLong(560'000);
   BOOST_TEST(ShouldRefuse(Choose(busy, Speed(), first), first));
-  // Engines that have nothing else to do never refuse, also where it is late.
+  // Idle engines never cause a refusal, even if the answer is late.
   for (int count : {2, 4, 12}) {
     std::vector<Candidate> idle = Engines(count);
     BOOST_TEST(!ShouldRefuse(Choose(idle, Speed(), first), first));
   }
 }
 
-BOOST_AUTO_TEST_CASE(PlainServicesGoByTheLeastLoadForTheirSlots) {
+BOOST_AUTO_TEST_CASE(PlainServicesUseTheLeastLoadedEngineForItsSlots) {
   std::vector<Candidate> engines = Engines(3);
   engines[0].load.requests = 2;
   engines[1].load.requests = 1;
--- a/src/serving/work_plan.cc
+++ b/src/serving/work_plan.cc
@@ -1,4 +1,4 @@
-// work_plan.h tells what it is for.
+// Each new plan is computed from the whole list of usable engines.
 
 #include "serving/work_plan.h"
 
@@ -10,11 +10,11 @@
 namespace gullward {
 namespace {
 
-uint64_t PackingOrder(const HomeEngine& engine) {
+uint64_t PackingOrder(const PlannedEngine& engine) {
   return XXH64(engine.record.id.data(), engine.record.id.size(), 0);
 }
 
-// `self` works on the plan's home cell.
+// The plan for a service with these engines and cells.
 ServicePlan PlanFor(const std::vector<const EngineRecord*>& engines, CellMap cells,
                     const GatewayName& self) {
   ServicePlan plan;
@@ -25,7 +25,7 @@
     plan.engines.push_back({*engine, engine->Incarnation()});
   }
   std::sort(plan.engines.begin(), plan.engines.end(),
-            [](const HomeEngine& left, const HomeEngine& right) {
+            [](const PlannedEngine& left, const PlannedEngine& right) {
               return PackingOrder(left) < PackingOrder(right);
             });
   return plan;
@@ -42,10 +42,10 @@
   this->gateways_changed = true;
 }
 
-void WorkPlan::Follow(const EngineDirectory& directory) {
-  bool changed = directory.revision() != this->followed || this->gateways_changed;
+void WorkPlan::Update(const EngineDirectory& directory) {
+  bool changed = directory.revision() != this->directory_revision || this->gateways_changed;
   if (!changed) return;
-  this->followed = directory.revision();
+  this->directory_revision = directory.revision();
   this->gateways_changed = false;
   this->plans += 1;
   std::map<std::string, std::vector<const EngineRecord*>> by_service;
@@ -55,22 +55,22 @@
   this->services.clear();
   this->largest.clear();
   this->home_engines = 0;
-  size_t most = 0;
+  size_t max_engines = 0;
   for (const auto& [service, engines] : by_service) {
     CellMap cells = this->divided ? CellMap(engines, this->gateways) : CellMap();
     ServicePlan plan = PlanFor(engines, std::move(cells), this->self);
     this->home_engines += plan.engines.size();
     this->services[service] = std::move(plan);
-    if (engines.size() <= most) continue;
-    most = engines.size();
+    if (engines.size() <= max_engines) continue;
+    max_engines = engines.size();
     this->largest = service;
   }
 }
 
 const ServicePlan& WorkPlan::ForService(const std::string& service) const {
-  static const ServicePlan* const none = new ServicePlan();
+  static const ServicePlan* const empty_plan = new ServicePlan();
   auto found = this->services.find(service);
-  return found == this->services.end() ? *none : found->second;
+  return found == this->services.end() ? *empty_plan : found->second;
 }
 
 }  // namespace gullward
--- a/src/serving/work_plan.h
+++ b/src/serving/work_plan.h
@@ -1,12 +1,13 @@
-// What a gateway works on: of each service, the engines of its home cell.
+// Selects the engines that a gateway works on: for each service, the engines of its home cell.
 //
-// The plan follows from the engines' list and is made anew when that changes, so that a
-// decision looks only at the engines it may choose: at 10,000 engines a look at the whole
-// list would take longer than a request on a slow box is worth.
+// The plan is computed from the list of engines whenever the list or the set of gateways changes.
+// A choice for a request then looks only at the engines that may be chosen.  With 10,000 engines,
+// going through the whole list for each request would take longer than serving the request
+// justifies on a slow box.
 //
 //   WorkPlan plan("box-1", "hall-1");
-//   plan.Follow(directory);                      // does nothing where nothing changed
-//   for (const HomeEngine& engine : plan.Of("models").engines) ...
+//   plan.Update(directory);                      // does nothing if nothing has changed
+//   for (const PlannedEngine& engine : plan.ForService("models").engines) ...
 
 #ifndef GULLWARD_SERVING_WORK_PLAN_H_
 #define GULLWARD_SERVING_WORK_PLAN_H_
@@ -21,48 +22,50 @@
 
 namespace gullward {
 
-// An engine that may be chosen, with what a decision would else work out each time.
-struct HomeEngine {
+// An engine that may be chosen.  The name of its incarnation is stored so that it need not be
+// formatted for each choice.
+struct PlannedEngine {
   EngineRecord record;
   std::string incarnation;
 
-  bool operator==(const HomeEngine&) const = default;
+  bool operator==(const PlannedEngine&) const = default;
 };
 
-// Of one service.
+// The plan for one service.
 struct ServicePlan {
   CellMap cells;
+  // This gateway's home cell.
   Cell home;
-  // Those of the home cell, in the order in which all gateways fill engines: by a hash of
-  // the id, so that it is the same everywhere and an engine's place does not depend on
-  // the others.
-  std::vector<HomeEngine> engines;
+  // The engines of the home cell, in the order in which all gateways fill engines.  The order is
+  // by a hash of the id: it is the same on every gateway, and an engine's place does not depend
+  // on the other engines.
+  std::vector<PlannedEngine> engines;
 };
 
 class WorkPlan {
  public:
-  // `divided` off: every service is one cell.
+  // Without `divided`, every service is one cell.
   WorkPlan(std::string own_box, std::string own_data_centre, bool divided = true);
 
-  // Takes over what has changed of the list.
-  void Follow(const EngineDirectory& directory);
-  // All other gateways that are known.
+  // Computes the plan anew if the directory or the set of gateways has changed.
+  void Update(const EngineDirectory& directory);
+  // Sets the other gateways of the fleet.
   void SetGateways(std::vector<GatewayName> others);
 
-  // All gateways that are known, this one among them.
+  // All known gateways, including this one.
   const std::vector<GatewayName>& known_gateways() const { return this->gateways; }
 
-  // An empty plan for a service that no engine runs.
+  // The plan for a service; an empty plan if no engine runs the service.
   const ServicePlan& ForService(const std::string& service) const;
 
-  // The service that most engines run; those who share its home cell are this gateway's
-  // neighbours, to whom it tells what is not about one engine.
+  // The service with the most engines; empty if there are no engines.  Messages that are not about
+  // a particular engine go to the gateways of this service's home cell.
   const std::string& main_service() const { return this->largest; }
 
-  // Engines of all home cells together.
+  // Number of engines in all home cells.
   size_t engines() const { return this->home_engines; }
 
-  // Rises with each new plan.
+  // Increases with each new plan.
   uint64_t revision() const { return this->plans; }
 
  private:
@@ -73,8 +76,8 @@
   size_t home_engines = 0;
   std::vector<GatewayName> gateways;
   bool gateways_changed = false;
-  // The revision of the list that was followed last.
-  uint64_t followed = 0;
+  // The revision of the directory that the plan was computed from.
+  uint64_t directory_revision = 0;
   uint64_t plans = 0;
 };
 
