--- a/src/serving/cell_map.h
+++ b/src/serving/cell_map.h
@@ -19,7 +19,8 @@
 //     in a cell without gateways would get no work.
 //
 // The size of a cell is thus bounded by kMaxEngines or by the number of engines for each few
-// gateways, whichever is greater.  Neither grows with the fleet.
+// gateways, whichever is greater.  Neither grows with the fleet.  The division also reduces how
+// many gateways choose the same engine in the same instant.
 //
 // Since the number of cells is a power of two, a change of it splits each cell in two or joins
 // two cells; all other engines and gateways stay where they are.  Gateways that have read
--- a/src/serving/engine_costs.cc
+++ b/src/serving/engine_costs.cc
@@ -18,7 +18,7 @@
 constexpr double kPauseSafety = 0.85;
 // Share of the objective over which lateness rises from 0 to 1.
 constexpr double kLatenessSlope = 0.5;
-// A pause from which on a stream's whole value counts as lost.  Callers give up a stream that
+// The pause above which a stream's whole value counts as lost.  Callers give up a stream that
 // pauses for two seconds and then send the whole request again.
 constexpr double kMaxToleratedPauseMs = 1700;
 // Share of the objective from which a first event counts as late.  The true wait is longer than
--- a/src/serving/engine_directory.h
+++ b/src/serving/engine_directory.h
@@ -46,8 +46,7 @@
   // The engine is leaving and takes no new work.
   bool draining = false;
   // When this incarnation started, in milliseconds of Unix time by the engine's own clock; 0 if
-  // not stated.  Only good for comparing incarnations of one id: the later one has the higher
-  // value.
+  // not stated.  Used only to compare incarnations of one id: the later one has the higher value.
   int64_t started_at_ms = 0;
 
   // The unique name of this incarnation.  All state about an engine (work, health, connections,
--- a/src/serving/engine_health.h
+++ b/src/serving/engine_health.h
@@ -1,10 +1,10 @@
 // Records the successes and failures of one engine, as seen by this gateway's own attempts.
 //
 // The platform's list states which engines should be running; only answers show which ones work.
-// An engine that fails several times in a row is set aside: it gets no work for a while, and the
-// while doubles with each further failure.  After it, single requests try the engine again.  An
-// engine that fails now and then has a failure rate, which makes it more expensive to choose
-// (engine_costs.h) and decays with successes and with time.
+// An engine that fails several times in a row is set aside: it gets no work for a pause, which
+// doubles with each further failure.  After the pause, single requests try the engine again.  An
+// engine that fails now and then has a failure rate, which raises its cost (engine_costs.h) and
+// decays with successes and with time.
 //
 //   EngineHealth health;
 //   health.AddFailure(now);
--- a/src/serving/fleet.cc
+++ b/src/serving/fleet.cc
@@ -113,13 +113,13 @@
 std::optional<FleetChoice> Fleet::ChooseAmong(const std::vector<PlannedEngine>& usable,
                                               const Service& service, const Demand& demand,
                                               const std::set<std::string>& tried, Time now) {
-  std::vector<const PlannedEngine*> pickable = this->Selectable(usable, tried, now);
-  if (pickable.empty()) return std::nullopt;
+  std::vector<const PlannedEngine*> selectable = this->Selectable(usable, tried, now);
+  if (selectable.empty()) return std::nullopt;
   std::vector<Candidate> candidates;
-  candidates.reserve(pickable.size());
-  double last = std::max<double>(static_cast<double>(pickable.size()) - 1, 1);
-  for (size_t i = 0; i < pickable.size(); ++i) {
-    const PlannedEngine& engine = *pickable[i];
+  candidates.reserve(selectable.size());
+  double last = std::max<double>(static_cast<double>(selectable.size()) - 1, 1);
+  for (size_t i = 0; i < selectable.size(); ++i) {
+    const PlannedEngine& engine = *selectable[i];
     Candidate candidate;
     candidate.engine = engine.incarnation;
     candidate.load = this->load_tracker.LoadOn(engine.incarnation, now);
@@ -140,10 +140,10 @@
   choice.candidates = candidates.size();
   const std::vector<size_t>& chosen = choice.placement.engines;
   if (chosen.empty()) return std::nullopt;
-  choice.engine = pickable[chosen.front()]->record;
+  choice.engine = selectable[chosen.front()]->record;
   choice.load = candidates[chosen.front()].load;
   for (size_t i = 1; i < chosen.size(); ++i) {
-    choice.readers.push_back(pickable[chosen[i]]->record);
+    choice.readers.push_back(selectable[chosen[i]]->record);
   }
   return choice;
 }
@@ -152,8 +152,8 @@
 bool Fleet::ShouldTryElsewhere(const std::optional<FleetChoice>& home, const Demand& demand) const {
   if (!this->switches.spill) return !home;
   if (!home) return true;
-  bool late = home->placement.first_event_ms > kSpillLateness * demand.objective_ms;
-  return late || ShouldRefuse(home->placement, demand);
+  bool is_late = home->placement.first_event_ms > kSpillLateness * demand.objective_ms;
+  return is_late || ShouldRefuse(home->placement, demand);
 }
 
 // The usable engines of other cells that are on offer.  If there is none and `any` is set, all
@@ -184,12 +184,12 @@
   // here, are likely to refuse as well.
   bool any = home_plan.engines.empty();
   std::vector<PlannedEngine> others = this->EnginesElsewhere(service, any, now);
-  std::optional<FleetChoice> away = this->ChooseAmong(others, service, demand, tried, now);
-  if (!away) return home;
-  away->spilled = true;
-  if (!home) return away;
-  bool better = away->placement.cost < kSpillGain * home->placement.cost;
-  return better && !ShouldRefuse(away->placement, demand) ? away : home;
+  std::optional<FleetChoice> elsewhere = this->ChooseAmong(others, service, demand, tried, now);
+  if (!elsewhere) return home;
+  elsewhere->spilled = true;
+  if (!home) return elsewhere;
+  bool is_better = elsewhere->placement.cost < kSpillGain * home->placement.cost;
+  return is_better && !ShouldRefuse(elsewhere->placement, demand) ? elsewhere : home;
 }
 
 std::map<std::string, EngineLoad> Fleet::EnginesToOffer(Time now) {
@@ -201,8 +201,8 @@
                    !this->engine_notices.Has(engine.incarnation);
     if (!is_free) continue;
     EngineLoad load = this->load_tracker.LoadOn(engine.incarnation, now);
-    double taken = static_cast<double>(load.requests) / std::max(engine.record.slots, 1);
-    by_load.emplace_back(taken + load.RemainingReadingMs() / kFullReadingMs, engine.incarnation);
+    double slot_use = static_cast<double>(load.requests) / std::max(engine.record.slots, 1);
+    by_load.emplace_back(slot_use + load.RemainingReadingMs() / kFullReadingMs, engine.incarnation);
     loads[engine.incarnation] = std::move(load);
   }
   std::sort(by_load.begin(), by_load.end());
--- a/src/serving/fleet_notices.cc
+++ b/src/serving/fleet_notices.cc
@@ -100,9 +100,9 @@
   std::optional<Duration> soonest;
   for (const PlannedEngine& engine : this->ReachableEngines(service, now)) {
     double share = this->ShareOfLimit(engine.record, engine.incarnation);
-    std::optional<Duration> opens =
+    std::optional<Duration> time_left =
         this->engine_notices.TimeUntilAdmission(engine.incarnation, share, now);
-    if (opens && (!soonest || *opens < *soonest)) soonest = opens;
+    if (time_left && (!soonest || *time_left < *soonest)) soonest = time_left;
   }
   return soonest;
 }
--- a/src/serving/silence_timeout.h
+++ b/src/serving/silence_timeout.h
@@ -56,8 +56,8 @@
 // Whether the known load explains that an engine with `slots` slots has been silent for `silent`.
 inline bool LoadExplainsSilence(const EngineLoad& load, int slots, Duration silent) {
   if (silent >= kMaxSilenceTimeout) return false;
-  bool full = load.requests > slots;
-  return full || ToSeconds(silent) * 1000 < kReadingFactor * load.reading_ms;
+  bool is_full = load.requests > slots;
+  return is_full || ToSeconds(silent) * 1000 < kReadingFactor * load.reading_ms;
 }
 
 }  // namespace gullward
