--- a/src/serving/engine_costs.cc
+++ b/src/serving/engine_costs.cc
@@ -1,4 +1,4 @@
-// The constants come from the users' sheets and from the published speeds of engines.
+// The constants come from the users' data sheets and from the published speeds of engines.
 
 #include "serving/engine_costs.h"
 
@@ -9,7 +9,7 @@
 namespace gullward {
 namespace {
 
-// The value of a request is linear in the length of its prompt.  The users' sheets give 1.3 for
+// The value of a request is linear in the length of its prompt.  The users' data sheets give 1.3 for
 // 5,000 tokens, 3.1 for 45,000 and 22 for 210,000.
 constexpr double kValueBase = 0.8;
 constexpr double kValuePerToken = 1e-4;
--- a/src/serving/engine_costs.h
+++ b/src/serving/engine_costs.h
@@ -15,7 +15,7 @@
 
 namespace gullward {
 
-// Share of its value that an answer loses by being late (three quarters, by the sheets of both
+// Share of its value that an answer loses by being late (three quarters, by the data sheets of both
 // users).
 inline constexpr double kLateLoss = 0.75;
 // A small preference for the own data centre, which decides among engines of equal cost only.
