--- a/src/serving/testing/limit_share_test.cc
+++ b/src/serving/testing/limit_share_test.cc
@@ -127,15 +127,15 @@
 BOOST_AUTO_TEST_CASE(APeerThatSendsNothingIsSilentUnlessMostDo) {
   PeerLiveness liveness;
   std::vector<std::string> boxes = Boxes(4);
-  auto silent_at = [&](Duration after) { return liveness.Silent(boxes, kStart + after); };
+  auto silent_at = [&](Duration after) { return liveness.SilentPeers(boxes, kStart + after); };
   // At the start no gateway is silent, since none has had time to send.
   BOOST_TEST(silent_at(seconds(0)).empty());
-  for (const char* box : {"box-0", "box-1", "box-2"}) liveness.Hear(box, kStart + seconds(4));
-  BOOST_TEST((silent_at(PeerLiveness::kSilence) == std::set<std::string>{"box-3"}));
+  for (const char* box : {"box-0", "box-1", "box-2"}) liveness.OnDatagram(box, kStart + seconds(4));
+  BOOST_TEST((silent_at(PeerLiveness::kSilenceTimeout) == std::set<std::string>{"box-3"}));
   // If three of four peers send nothing, the fault is this gateway's own.
-  liveness.Hear("box-0", kStart + seconds(10));
+  liveness.OnDatagram("box-0", kStart + seconds(10));
   BOOST_TEST(silent_at(seconds(11)).empty());
-  for (const std::string& box : boxes) liveness.Hear(box, kStart + seconds(12));
+  for (const std::string& box : boxes) liveness.OnDatagram(box, kStart + seconds(12));
   BOOST_TEST(silent_at(seconds(13)).empty());
   // A new peer is not silent yet.
   boxes.push_back("box-9");
