--- a/src/serving/engine_costs.cc
+++ b/src/serving/engine_costs.cc
@@ -9,8 +9,8 @@
 namespace gullward {
 namespace {
 
-// The value of a request is linear in the length of its prompt.  The users' data sheets give 1.3 for
-// 5,000 tokens, 3.1 for 45,000 and 22 for 210,000.
+// The value of a request is linear in the length of its prompt.  The users' data sheets give 1.3
+// for 5,000 tokens, 3.1 for 45,000 and 22 for 210,000.
 constexpr double kValueBase = 0.8;
 constexpr double kValuePerToken = 1e-4;
 // The share of the tolerated pause at which lateness begins.  Predicted pauses are too short,
