--- a/src/gateway/config_from_peers.cc
+++ b/src/gateway/config_from_peers.cc
@@ -1,4 +1,4 @@
-// config_from_peers.h tells the method.
+// Implementation of config_from_peers.h.
 
 #include "gateway/config_from_peers.h"
 
@@ -43,7 +43,7 @@
   this->client.SetAddress(peer);
   this->client.Call({"GET", kRecordPath, ""}, StoreClient::kAnswerTimeout,
                     [this](const StoreAnswer& answer) {
-                      // Another peer is asked with its next note.
+                      // After a failure the next note of a peer starts another fetch.
                       if (!answer.ok()) return;
                       this->received_count += 1;
                       this->hooks.received(answer.body);
--- a/src/gateway/config_from_peers.h
+++ b/src/gateway/config_from_peers.h
@@ -1,22 +1,22 @@
-// Hands the configuration on from gateway to gateway where the store does not.
+// Fetches the configuration from peers when the store does not provide it.
 //
-// The store may turn single boxes away while it serves the others and the operator, and a
-// change may be made just then.  A gateway there hears from its peers that it is behind, cannot
-// read the change, and vouches for no key any more once its last proof is too old: it would
-// refuse everything, though its engines are free.
+// The store may refuse single gateways while it serves the others and the operator, and the
+// configuration may change at that time.  A refused gateway learns from its peers that its
+// configuration is outdated, cannot read the change, and stops accepting keys when its last
+// validation is too old.  It would then refuse every request, although its engines are free.
 //
-// So each gateway serves the record that it has read last, as the store gave it, at the
-// address at which it hears its peers (TCP beside the datagrams).  One that has been behind
-// for long enough asks the peer that told it.  What it gets is treated like a read of the
-// store's: only a later version counts.  How current it is, the peers' notes tell as ever
-// (serving/peer_freshness.h).
+// Therefore each gateway serves the configuration record that it last read, unchanged, over TCP
+// at the address and port of its datagram socket.  A gateway that has been outdated for long
+// enough fetches the record from the peer that reported the newer version.  The record is
+// handled like one read from the store: only a later version is applied.  The peers' notes show
+// how current it is, as for any record (serving/peer_freshness.h).
 //
 //   ConfigFromPeers config(&loop, {.own_record = ..., .received = ...});
 //   config.Listen(own_address);
-//   config.Ask(peer_address);
+//   config.Fetch(peer_address);
 //   config.Tick(now);                              // now and then
 //
-// One question at a time; at most kMostConnections peers are served at once.
+// One fetch is in progress at a time, and at most kMaxConnections peers are served at once.
 
 #ifndef GULLWARD_GATEWAY_CONFIG_FROM_PEERS_H_
 #define GULLWARD_GATEWAY_CONFIG_FROM_PEERS_H_
@@ -37,24 +37,24 @@
   static constexpr size_t kMaxConnections = 16;
 
   struct Hooks {
-    // The record as it was read; null where none was.
+    // Returns the record that was last read; null if none was.
     std::function<std::shared_ptr<const std::string>()> own_record;
-    // A peer's record.
+    // Called with a peer's record.
     std::function<void(const std::string& record)> received;
   };
 
   ConfigFromPeers(EventLoop* event_loop, Hooks config_hooks);
 
   absl::Status Listen(const SocketAddress& address);
-  // The port that it listens on.
+  // The port that the server listens on.
   uint16_t port() const { return this->listener.port(); }
 
-  // Asks a peer, unless a question is under way.  Whether it did.
+  // Fetches the record from a peer.  Returns false if another fetch is in progress.
   bool Fetch(const SocketAddress& peer);
 
   void Tick(Time now) { this->pages.Tick(now); }
 
-  // Records that peers have handed us.
+  // The number of records received from peers.
   uint64_t received() const { return this->received_count; }
 
  private:
--- a/src/gateway/config_revalidator.cc
+++ b/src/gateway/config_revalidator.cc
@@ -7,8 +7,7 @@
 namespace gullward {
 namespace {
 
-// Whether the topic holds nothing beyond a position, which an answer to a read from
-// there shows by its end.
+// Whether the answer to a read from `position` shows that the topic ends there.
 bool EndsAt(uint64_t position, const StoreAnswer& answer) {
   if (!answer.ok()) return false;
   absl::StatusOr<platform::KeyedTail> tail = platform::DecodeTail(answer.body);
@@ -19,20 +18,20 @@
 
 ConfigRevalidator::ConfigRevalidator(EventLoop* event_loop, SocketAddress store,
                                      StoreRecovery* store_recovery, std::string config_topic,
-                                     Duration key_trust, uint64_t seed, Hooks prover_hooks)
+                                     Duration key_trust, uint64_t seed, Hooks revalidator_hooks)
     : loop(event_loop),
       client(event_loop, std::move(store), &store_recovery->returns()),
       recovery(store_recovery),
       topic(std::move(config_topic)),
       schedule(key_trust, seed),
-      hooks(std::move(prover_hooks)) {}
+      hooks(std::move(revalidator_hooks)) {}
 
-void ConfigRevalidator::Tick(Time proved_at, Time now) {
+void ConfigRevalidator::Tick(Time validated_at, Time now) {
   std::optional<uint64_t> position = this->hooks.position();
   if (!position) return;
   const StoreEpoch& epoch = this->recovery->returns().epoch();
-  bool proves_nothing_yet = epoch.is_known() && !epoch.IsSettledFor(now);
-  bool is_due = !proves_nothing_yet && this->schedule.IsDue(proved_at, now);
+  bool is_unsettled = epoch.is_known() && !epoch.IsSettledFor(now);
+  bool is_due = !is_unsettled && this->schedule.IsDue(validated_at, now);
   bool is_wanted_now = this->is_requested && !this->schedule.is_asking();
   if (is_due || is_wanted_now) this->Revalidate(*position, now);
 }
@@ -48,11 +47,11 @@
       });
 }
 
-void ConfigRevalidator::RecordLatency(Duration took) {
-  bool slow = took > kSlowAnswer;
+void ConfigRevalidator::RecordLatency(Duration latency) {
+  bool slow = latency > kSlowAnswer;
   if (slow == this->store_is_slow) return;
   this->store_is_slow = slow;
-  this->hooks.speed_changed(slow, took);
+  this->hooks.speed_changed(slow, latency);
 }
 
 void ConfigRevalidator::OnAnswer(const StoreAnswer& answer, uint64_t position,
@@ -64,7 +63,7 @@
   this->recovery->OnCallSucceeded();
   this->RecordLatency(Now() - sent);
   if (answer.epoch != epoch) {
-    // The place belongs to another epoch; the follower reads anew.
+    // The offset belongs to another epoch, and the follower reads the pages again.
     this->schedule.NoteRetry();
     return;
   }
--- a/src/gateway/config_revalidator.h
+++ b/src/gateway/config_revalidator.h
@@ -1,18 +1,18 @@
-// Proves by small reads that the newest configuration is the one in force here.
+// Revalidates the configuration: shows by small reads that no newer version exists.
 //
-// The follower's own read waits at the store for a change (topic_follower.h), so it
-// proves nothing until it comes back.  The prover asks at the follower's place in
-// the log without waiting: an answer without records proves that nothing newer had
-// been written when the question was sent.  An answer with records is news that the
-// follower's read should bring at once; if it does not, that read hangs on a dead
-// connection.  The question asks for next to nothing of the records: whole ones, thrown
-// away, took half of a thin link from the follower while it caught up.
+// The follower's own read waits at the store for a change (topic_follower.h), so it shows
+// nothing until it returns.  The revalidator reads from the follower's offset without waiting.
+// An answer without records shows that nothing newer had been written when the read was sent.
+// An answer with records means that the follower's read should return them at once; if it does
+// not, that read is stuck on a dead connection.  The revalidator requests the smallest possible
+// answer: whole records, which it would discard, took half of a thin link's bandwidth from the
+// follower while it caught up.
 //
-// Right after the store's return from an older copy nothing is proved by it, so nothing is
-// asked (store_returns.h).
+// Shortly after the store's return from an older copy an answer shows nothing about newer
+// versions, so no reads are sent then (store_returns.h).
 //
-//   ConfigProver prover(&loop, store, topic, trust, seed, hooks);
-//   prover.Tick(proved_at, now);          // every few milliseconds
+//   ConfigRevalidator revalidator(&loop, store, &recovery, topic, trust, seed, hooks);
+//   revalidator.Tick(validated_at, now);  // every few milliseconds
 
 #ifndef GULLWARD_GATEWAY_CONFIG_REVALIDATOR_H_
 #define GULLWARD_GATEWAY_CONFIG_REVALIDATOR_H_
@@ -30,35 +30,36 @@
 
 class ConfigRevalidator {
  public:
-  // An answer without waiting that takes longer than this is slow: the store's usual
-  // is 4 ms, and an outage is noticed after a second.
+  // An answer that takes longer counts as slow.  The store usually answers in 4 ms, and an
+  // outage is detected after a second.
   static constexpr Duration kSlowAnswer = milliseconds(100);
 
   struct Hooks {
-    // The offset up to which all records are in force; nothing before the first are.
+    // Returns the offset up to which all records are in force; nothing before the first read.
     std::function<std::optional<uint64_t>()> position;
-    // Nothing newer had been written at that time.  Whether that proves the configuration
-    // current: it does not where a newer one is known of that the store lacks.
+    // Called when nothing newer had been written at `sent`.  Returns whether this validates
+    // the configuration: it does not if a newer version is known that the store lacks.
     std::function<bool(Time sent)> validated;
-    // The store has begun to answer slowly, or to answer as usual again.
-    std::function<void(bool is_slow, Duration took)> speed_changed;
-    // There are records that the follower has not brought yet.
+    // Called when the store begins to answer slowly, or at its usual speed again.
+    std::function<void(bool is_slow, Duration latency)> speed_changed;
+    // Called when records exist that the follower has not read in time.
     std::function<void()> behind;
   };
 
   ConfigRevalidator(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
                     std::string topic, Duration key_trust, uint64_t seed, Hooks hooks);
 
-  // Asks if it is time, given when the configuration was last proved current.
-  void Tick(Time proved_at, Time now);
-  // A peer knows of a return of the store that we have not seen: asks at the next tick.
+  // Sends a read if one is due, given when the configuration was last validated.
+  void Tick(Time validated_at, Time now);
+  // Sends a read at the next tick.  Called when a peer reports a return of the store that this
+  // gateway has not seen.
   void RevalidateSoon() { this->is_requested = true; }
 
   uint64_t calls() const { return this->client.calls(); }
 
  private:
   void Revalidate(uint64_t position, Time now);
-  void RecordLatency(Duration took);
+  void RecordLatency(Duration latency);
   void OnAnswer(const StoreAnswer& answer, uint64_t position, std::optional<uint64_t> epoch,
                 Time sent);
 
--- a/src/gateway/gateway_engine_list.cc
+++ b/src/gateway/gateway_engine_list.cc
@@ -1,5 +1,5 @@
-// The gateway server's part for the engines' list: what it does with each entry, how it
-// starts without the list, and how long its reads wait.
+// The gateway server's handling of the engine list: how it applies each entry, starts without
+// the list, and chooses how long its reads wait.
 
 #include <algorithm>
 #include <random>
@@ -12,17 +12,18 @@
 namespace gullward {
 namespace {
 
-// The engines' list has no prover.  But whoever reads anew and finds news tells how far it
-// has read, and its neighbours read anew as well: so it is enough that in each cell one read
-// ends every now and then.  Each waits the longer the more neighbours there are, up to what
-// the store allows, for a time of its own drawing.
-constexpr double kNeighboursAWait = 4;
-constexpr Duration kLongestListWait = seconds(24);
-// Over which gateways that start together spread their reading of the list, for each engine
-// on it: 300 gateways and 3,000 engines are 390 MB, of which the store reads 80 a second.
-constexpr Duration kSpreadForEngine = milliseconds(1);
-// Of a key or a reason, in a line on an entry that anybody may have written.
-constexpr size_t kLoggedBytes = 80;
+// The engine list has no revalidation by small reads.  A gateway that finds a change instead
+// reports its read position to its neighbours, and they read again too.  It therefore suffices
+// that one read per cell ends now and then.  The wait grows with the number of neighbours, up
+// to the store's limit, and has a random jitter.
+constexpr double kNeighboursPerWait = 4;
+constexpr Duration kMaxListWait = seconds(24);
+// Gateways that start together spread their reads of the list over this time for each listed
+// engine: for 300 gateways and 3,000 engines the reads total 390 MB, and the store can serve
+// 80 MB per second.
+constexpr Duration kReadSpreadPerEngine = milliseconds(1);
+// Limit for a key or a reason in a log line, because anyone may have written the entry.
+constexpr size_t kMaxLoggedBytes = 80;
 
 }  // namespace
 
@@ -57,9 +58,9 @@
   return hooks;
 }
 
-// A peer has read a change of the engines' list that our waiting read did not bring.
-// The store answers such reads late now and then, with the change after that: an engine
-// that leaves must be left alone within two seconds.
+// A peer has read a change of the engine list that this gateway's waiting read has not
+// returned.  The store sometimes answers a waiting read late, together with the next change,
+// but an engine that is leaving must get no work after two seconds.
 void GatewayServer::OnPeerEngineListPosition(uint64_t offset) {
   if (!this->state.fleet.mechanisms().catch_up_with_peers) return;
   std::optional<uint64_t> own = this->engine_follower.position();
@@ -73,17 +74,18 @@
   return EngineDirectory::KeepUntil(this->engine_follower.regained_at());
 }
 
-// An engine's entry on the list; nothing, a count and a line in the log, if it names no
-// engine to use.
+// Parses an entry of the engine list.  If the entry is invalid, counts and logs it and returns
+// nothing.
 std::optional<EngineRecord> GatewayServer::ReadEngine(const platform::KeyedRecord& record) {
   absl::StatusOr<EngineRecord> engine = platform::DecodeEngine(record.key, record.value);
   if (engine.ok()) return *std::move(engine);
   this->state.counters.entries_unreadable += 1;
   const ResultCodeInfo& info = Info(ResultCode::kEntryUnreadable);
-  this->log.Write(LogLine(info.name)
-                      .Number("code", static_cast<double>(info.code))
-                      .Text("engine", std::string_view(record.key).substr(0, kLoggedBytes))
-                      .Text("reason", StdView(engine.status().message()).substr(0, kLoggedBytes)));
+  this->log.Write(
+      LogLine(info.name)
+          .Number("code", static_cast<double>(info.code))
+          .Text("engine", std::string_view(record.key).substr(0, kMaxLoggedBytes))
+          .Text("reason", StdView(engine.status().message()).substr(0, kMaxLoggedBytes)));
   return std::nullopt;
 }
 
@@ -106,7 +108,7 @@
   this->log.Write(LogLine("engines").Number("listed", static_cast<double>(engines.size())));
 }
 
-// The line by which operators see why work of before has failed.
+// Logs the restart so that operators can see why earlier work on the engine failed.
 void GatewayServer::RecordRestart(const EngineRecord& engine) {
   const EngineRecord* known = this->state.fleet.directory().Find(engine.id);
   if (known == nullptr || known->born >= engine.born) return;
@@ -125,8 +127,8 @@
   }
   std::optional<EngineRecord> engine = this->ReadEngine(record);
   if (!engine) {
-    // Whatever stood there before, the entry names no engine now.  An engine that lives
-    // writes its own again with its next heartbeat.
+    // The entry no longer names an engine, so the previous one is removed.  A running engine
+    // writes its entry again with its next heartbeat.
     this->state.fleet.directory().Remove(record.key, Now(), this->KeepLapsedUntil());
     return;
   }
@@ -141,23 +143,24 @@
   this->state.fleet.directory().Update(*engine);
 }
 
-// With the copy in hand, those who start together spread their reading of the list itself.
+// Gateways that start together and have the copy spread their reads of the list itself.
 void GatewayServer::StartReadingEngines() {
   this->loop->RunAfter(this->RandomReadDelay(), [this] { this->engine_follower.Start(); });
 }
 
 Duration GatewayServer::RandomReadDelay() {
   double engines = static_cast<double>(this->state.fleet.directory().size());
-  std::uniform_real_distribution<double> draw(0, ToSeconds(kSpreadForEngine) * engines);
-  return FromSeconds(draw(this->state.random));
+  std::uniform_real_distribution<double> delay_seconds(0,
+                                                       ToSeconds(kReadSpreadPerEngine) * engines);
+  return FromSeconds(delay_seconds(this->state.random));
 }
 
 Duration GatewayServer::RandomEngineListWait() {
-  double waits = static_cast<double>(this->load_exchange.neighbours()) / kNeighboursAWait;
+  double wait_count = static_cast<double>(this->load_exchange.neighbours()) / kNeighboursPerWait;
   std::uniform_real_distribution<double> jitter(0.75, 1.25);
-  Duration wait = FromSeconds(ToSeconds(kEngineListWait) * std::max(waits, 1.0));
-  wait = std::min(wait, kLongestListWait);
-  return FromSeconds(ToSeconds(wait) * (waits > 1 ? jitter(this->state.random) : 1.0));
+  Duration wait = FromSeconds(ToSeconds(kEngineListWait) * std::max(wait_count, 1.0));
+  wait = std::min(wait, kMaxListWait);
+  return FromSeconds(ToSeconds(wait) * (wait_count > 1 ? jitter(this->state.random) : 1.0));
 }
 
 }  // namespace gullward
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -1,7 +1,7 @@
-// Takes connections, hands requests to exchanges and records of the store to the
-// core, looks at every clock once a tick, and stops in an order that callers do
-// not notice.  How its parts are joined is in gateway_server_hooks.cc, what operators read in
-// gateway_server_pages.cc, and what it does with the engines' list in gateway_engine_list.cc.
+// Accepts connections, hands requests to exchanges, applies configuration records, checks all
+// timers once per tick, and shuts down without failing requests in progress.
+// gateway_server_hooks.cc connects the parts of the server, gateway_server_pages.cc produces
+// the operators' pages, and gateway_engine_list.cc handles the engine list.
 
 #include "gateway/gateway_server.h"
 
@@ -18,26 +18,27 @@
 namespace gullward {
 namespace {
 
-// How often timers of requests are looked at.  Deadlines are met within it.
+// Interval at which request timers are checked.  A deadline is met within one tick.
 constexpr Duration kTick = milliseconds(25);
-// Connections and idle channels are looked at every so many ticks.
-constexpr uint64_t kSlowTicks = 20;
-// Changes of the configuration must be in force within two seconds; this takes a
-// tenth of that.
-constexpr Duration kGatherConfigs = milliseconds(200);
-// Share of the time within which a leaving engine must be left alone; each read of
-// its list costs a call in every gateway, and engines change all day.
-constexpr double kGatherEnginesShare = 0.35;
-// Changes come at once; the wait only bounds how late a store that has gone silent is
-// noticed.  For the configuration the prover notices that sooner, so its reads wait for as
-// long as the store allows.
+// Connections and idle channels are checked once in this many ticks.
+constexpr uint64_t kTicksPerSlowTick = 20;
+// How long the configuration follower waits for more changes after one.  A change must be in
+// force within two seconds; the wait takes a tenth of that.
+constexpr Duration kConfigBatchDelay = milliseconds(200);
+// The engine list follower waits this share of `leaving_bound` for more changes after one.
+// Every read of the list costs each gateway a store call, and engines change all day.
+constexpr double kEngineBatchShare = 0.35;
+// How long one configuration read waits at the store.  A change is returned at once, so the
+// wait only bounds the delay until a silent store is detected.  ConfigRevalidator detects a
+// silent store sooner, so the read may wait as long as the store allows.
 constexpr Duration kConfigWait = seconds(30);
-// A balancer takes a process out after two missed questions, one a second; until
-// then it sends new callers, and they are served.
-constexpr Duration kBalancerNotices = milliseconds(2600);
-// From when a gateway that is behind asks peers of other data centres too.
-constexpr Duration kFarPeersTurn = milliseconds(1200);
-// Kept back from the stop's grace for the last writes.
+// A balancer removes a process after two failed health checks, one per second.  Until then it
+// sends new callers, which must be served.
+constexpr Duration kBalancerReactionTime = milliseconds(2600);
+// A gateway with an outdated configuration asks peers of other data centres only after this
+// delay.
+constexpr Duration kRemotePeerDelay = milliseconds(1200);
+// Part of the stop grace that is reserved for the last writes.
 constexpr Duration kStopMargin = milliseconds(400);
 
 }  // namespace
@@ -51,11 +52,11 @@
       crash_watch(event_loop, this->CrashWatchOptions(), &this->store_recovery, &this->log,
                   this->CrashWatchHooks()),
       config_follower(event_loop, settings.store, &this->store_recovery,
-                      {std::string(platform::kConfigTopic), kConfigWait, kGatherConfigs},
+                      {std::string(platform::kConfigTopic), kConfigWait, kConfigBatchDelay},
                       this->ConfigFollowerHooks()),
       engine_follower(event_loop, settings.store, &this->store_recovery,
                       {std::string(platform::kEnginesTopic), kEngineListWait,
-                       FromSeconds(kGatherEnginesShare * ToSeconds(settings.leaving_bound))},
+                       FromSeconds(kEngineBatchShare * ToSeconds(settings.leaving_bound))},
                       this->EngineFollowerHooks()),
       engine_list_copy(event_loop, settings.store, &this->store_recovery, &this->log, random_seed,
                        this->EngineListCopyHooks()),
@@ -71,24 +72,25 @@
   this->store_recovery.returns().OnReturn([this] { this->OnStoreReturn(); });
 }
 
-// 0 where none has been read.
+// Returns 0 if no configuration has been read.
 uint64_t GatewayServer::ConfigVersion() const {
   return this->state.config ? this->state.config->config().version : 0;
 }
 
-// The store held nothing newer than our configuration when it was asked at `sent`.  That
-// proves it current, but not right after a return from an older copy, nor where the store
-// lacks a version that a peer has had since before.
+// Handles a store answer, to a question sent at `sent`, that held nothing newer than the
+// configuration in force.  Confirms the keys and returns true, except in two cases: the store
+// has recently returned from an older copy, or a peer had announced a newer version by `sent`,
+// which the store therefore lacks.
 bool GatewayServer::OnValidated(Time sent) {
   bool is_settled = this->store_recovery.returns().epoch().IsSettledFor(sent);
-  bool lacks_newer = this->ConfigVersion() < this->state.newest_version_told &&
-                     this->state.newest_version_told_at <= sent;
-  if (!is_settled || lacks_newer) return false;
+  bool store_is_behind = this->ConfigVersion() < this->state.newest_version_told &&
+                         this->state.newest_version_told_at <= sent;
+  if (!is_settled || store_is_behind) return false;
   this->state.keys.Confirm(sent);
   return true;
 }
 
-// The followers read anew by themselves.
+// The topic followers restart their reads themselves.
 void GatewayServer::OnStoreReturn() {
   const StoreEpoch& epoch = this->store_recovery.returns().epoch();
   LogLine line("store_returned");
@@ -101,7 +103,7 @@
   this->crash_watch.OnStoreReturn(Now());
 }
 
-// A peer's word on a return is looked into and not believed.
+// A peer's report of a newer store epoch is not trusted; it only triggers a read of the store.
 void GatewayServer::OnPeerEpoch(uint64_t epoch, bool is_settled) {
   StoreReturns& returns = this->store_recovery.returns();
   std::optional<uint64_t> own = returns.epoch().current();
@@ -109,8 +111,8 @@
   if (own && *own < epoch) this->config_revalidator.RevalidateSoon();
 }
 
-// A peer has a version that our own read should have brought by now: the read may
-// hang on a connection that is dead.
+// A peer has announced a newer version.  If this gateway's own read has not returned that
+// version after kMaxUpdateDelay, the read may be stuck on a dead connection.
 void GatewayServer::OnNewerVersion(uint64_t version, const Peer& peer) {
   Time now = Now();
   if (version > this->state.newest_version_told) {
@@ -132,12 +134,12 @@
                       .Text("asked", asked ? peer.box : ""));
 }
 
-// Peers of the own data centre come first: a configuration is large.
+// Peers of the own data centre are asked first, because a configuration is large.
 bool GatewayServer::ShouldFetchConfig(const Peer& peer, Time now) const {
   if (!this->state.fleet.mechanisms().config_from_peers || peer.address.port == 0) return false;
   bool is_near = peer.data_centre == this->state.settings.data_centre;
-  Duration waits = is_near ? TopicFollower::kMaxUpdateDelay : kFarPeersTurn;
-  return now - this->behind_since >= waits;
+  Duration delay = is_near ? TopicFollower::kMaxUpdateDelay : kRemotePeerDelay;
+  return now - this->behind_since >= delay;
 }
 
 absl::Status GatewayServer::Start() {
@@ -150,7 +152,9 @@
   if (!status.ok()) return status;
   status = this->metrics_listener.Listen(this->loop, settings.metrics, operators_hook);
   if (!status.ok()) return status;
-  // One number for both: first the one of which more are taken.
+  // The TCP and the UDP socket for peers share one port number.  If the settings leave the
+  // choice to the kernel, the TCP socket is bound first: more TCP ports are in use, so a free
+  // TCP port is more likely to be free for UDP too.
   uint16_t peers_port = settings.peers.port;
   status = this->config_from_peers.Listen(settings.peers);
   if (status.ok()) {
@@ -228,7 +232,7 @@
     this->log.Write(LogLine("config_invalid").Text("reason", StdView(config.status().message())));
     return;
   }
-  // Never back: an older version may still come by from a slow read.
+  // Never replaces a version by an older one, which a slow read may still return.
   if (this->state.config && config->version <= this->ConfigVersion()) return;
   this->log.Write(LogLine("config")
                       .Number("version", static_cast<double>(config->version))
@@ -247,7 +251,7 @@
   this->config_revalidator.Tick(this->state.keys.confirmed_at(), now);
   this->LogKeyFreshness(now);
   if (this->stopping) this->StopWhenIdle(now);
-  if (this->ticks % kSlowTicks == 0) {
+  if (this->ticks % kTicksPerSlowTick == 0) {
     this->TickConnections(now);
     this->TickFleet(now);
     this->crash_watch.TickSlowly(now);
@@ -256,8 +260,8 @@
   this->log.Flush();
 }
 
-// An exchange that ends may give its place at once to one for the caller's next
-// request, so those that run are held first.
+// Holds references to the running exchanges first: an exchange that ends may start the
+// caller's next request and so replace its entry in `callers`.
 void GatewayServer::TickExchanges(Time now) {
   std::vector<std::shared_ptr<Exchange>> running;
   for (auto& [id, caller] : this->callers) {
@@ -267,7 +271,7 @@
   for (const std::shared_ptr<Exchange>& exchange : running) exchange->Tick(now);
 }
 
-// Tells the log when keys begin or cease to be accepted.
+// Logs when keys begin or cease to be accepted.
 void GatewayServer::LogKeyFreshness(Time now) {
   bool fresh = this->state.keys.IsFresh(now);
   if (fresh == this->keys_were_fresh) return;
@@ -311,7 +315,7 @@
   for (auto& [id, caller] : this->callers) caller.channel->CloseAfterAnswer();
 }
 
-// What is taken now could not be finished in the time that is left.
+// A request accepted from now on could not be finished in the remaining time.
 void GatewayServer::StopAccepting() {
   this->callers_listener.Close();
   for (auto& [id, caller] : this->callers) caller.channel->CloseIfIdle();
@@ -324,9 +328,9 @@
     busy = busy || in_use;
   }
   Duration elapsed = now - this->stop_began;
-  if (elapsed >= kBalancerNotices) this->StopAccepting();
+  if (elapsed >= kBalancerReactionTime) this->StopAccepting();
   bool out_of_time = elapsed >= this->state.settings.stop_grace - kStopMargin;
-  bool done = !busy && elapsed >= kBalancerNotices;
+  bool done = !busy && elapsed >= kBalancerReactionTime;
   if (!done && !out_of_time) return;
   this->log.Write(LogLine("stopped").Number("busy", busy ? 1 : 0));
   this->log.Flush();
@@ -334,8 +338,8 @@
 }
 
 void GatewayServer::Reload(const GatewaySettings& changed) {
-  // Addresses cannot move under open connections, and the bounds belong to keys and
-  // retries under way: a restart takes those.
+  // Addresses cannot change under open connections, and key and retry bounds apply to work in
+  // progress, so changes of those settings require a restart.
   this->state.settings.stop_grace = changed.stop_grace;
   this->log.Write(LogLine("reloaded"));
 }
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -1,12 +1,13 @@
-// The gateway process: callers' connections, the store's topics, the operators'
-// pages and the stop, all on one event loop.
+// The gateway process.  It accepts callers' connections, follows the store's topics,
+// exchanges state with peers, serves the operators' pages and shuts down, all on one event
+// loop.
 //
 //   GatewayServer server(&loop, settings, seed);
 //   absl::Status status = server.Start();
 //   loop.Run();
 //
-// One thread does everything: an event that is passed on costs one read and one
-// write, and the core's state needs no lock.
+// The process has a single thread, so a forwarded stream event costs one read and one write,
+// and the shared state needs no lock.
 
 #ifndef GULLWARD_GATEWAY_GATEWAY_SERVER_H_
 #define GULLWARD_GATEWAY_GATEWAY_SERVER_H_
@@ -35,8 +36,8 @@
 
 class GatewayServer {
  public:
-  // How long one read of the engines' list waits at the store for a change, where few
-  // gateways share the watch; it bounds how late a store that has gone silent is noticed.
+  // How long one read of the engine list waits at the store for a change while the home cell
+  // has few gateways.  The value bounds the delay until a silent store is detected.
   static constexpr Duration kEngineListWait = seconds(5);
 
   GatewayServer(EventLoop* event_loop, const GatewaySettings& gateway_settings,
@@ -44,46 +45,47 @@
 
   absl::Status Start();
 
-  // Finishes what is under way and then stops the loop.
+  // Stops accepting work, finishes the requests in progress and then stops the loop.  Requests
+  // that outlast the stop grace of the settings are abandoned.
   void DrainAndStop();
 
-  // Whether the balancer may send callers here.
+  // Whether the load balancer may send callers to this gateway.
   bool IsReady() const;
 
-  // The engines that this process has set aside by its own experience.
+  // The engines that this gateway has set aside because of failures that it saw itself.
   std::set<std::string> SetAside() const { return this->state.fleet.SetAside(Now()); }
 
-  // Where callers connect; of the kernel's choice if the settings say port 0.
+  // The port for callers.  The kernel chooses it if the settings name port 0.
   uint16_t callers_port() const { return this->callers_listener.port(); }
   uint16_t ready_port() const { return this->ready_listener.port(); }
 
-  // Gateways known besides this one.
+  // The number of known gateways, without this one.
   size_t peers() const { return this->load_exchange.peers(); }
 
-  // Engines that may get new work.
+  // The number of engines that may get new work.
   size_t UsableEngines() const { return this->state.fleet.directory().Usable().size(); }
 
-  // Whether the list has an engine of that id.
+  // Whether the engine list has an entry with this id.
   bool HasEngine(const std::string& id) const {
     return this->state.fleet.directory().Find(id) != nullptr;
   }
 
-  // Engines that have said that they leave.
+  // The number of engines that have announced that they are leaving.
   size_t engines_leaving() const { return this->state.fleet.notices().leaving(); }
 
-  // Contents that are refused since they end engines.
+  // The number of request contents that are refused because they crash engines.
   size_t quarantined() const { return this->crash_watch.contents().quarantined(); }
 
-  // Contents under which an engine has ended unplanned.
+  // The number of request contents that were running when an engine crashed.
   size_t suspects() const { return this->crash_watch.contents().suspects(); }
 
-  // Entries of the engines' list that could not be read, since the process began.
+  // Entries of the engine list that could not be parsed, since the process started.
   uint64_t unreadable_entries() const { return this->state.counters.entries_unreadable; }
 
-  // Engines seen to start again under their id, since the process began.
+  // Engine restarts under an unchanged id that were observed, since the process started.
   uint64_t engine_restarts() const { return this->state.counters.engine_restarts; }
 
-  // The settings file has changed.
+  // Applies a changed settings file.  Only the stop grace takes effect without a restart.
   void Reload(const GatewaySettings& changed);
 
  private:
@@ -121,8 +123,8 @@
   bool ShouldFetchConfig(const Peer& peer, Time now) const;
   void OnPeerEngineListPosition(uint64_t offset);
 
-  // Looks at every clock.  The steps are in the order in which it takes them, the
-  // last two only now and then.
+  // Checks all timers.  The functions below are listed in the order in which Tick calls them;
+  // TickConnections and TickFleet run only once in several ticks.
   void Tick();
   void TickExchanges(Time now);
   void LogKeyFreshness(Time now);
@@ -133,7 +135,7 @@
   Duration RandomReadDelay();
   void StopAccepting();
   void StopWhenIdle(Time now);
-  // The pages that operators read: metrics as text, the process's state as JSON.
+  // The operators' pages: metrics as text, and the state of the process as JSON.
   std::string Metrics() const;
   std::string StateDump() const;
 
@@ -157,11 +159,12 @@
   uint64_t next_id = 1;
   uint64_t ticks = 0;
   bool engines_known = false;
-  // Since the copy of the list was last told of it.
+  // Whether the engine list has changed since it was last handed to engine_list_copy.
   bool engine_list_changed = false;
   bool keys_were_fresh = false;
   bool stopping = false;
-  // The newer version that a peer told of, and since when.
+  // The newest configuration version that a peer has announced and this gateway lacks, and
+  // when its first report arrived.
   uint64_t newer_version = 0;
   Time behind_since{};
   Time last_catch_up{};
--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -1,4 +1,5 @@
-// How the gateway server's parts are joined: what each of them asks for and tells.
+// Connects the parts of the gateway server: builds the hooks through which they query and
+// notify each other.
 
 #include <utility>
 
@@ -6,7 +7,7 @@
 
 namespace gullward {
 
-// What the followers of both topics have in common: the log.
+// Hooks common to the followers of both topics.  They only write to the log.
 TopicFollower::Hooks GatewayServer::LoggingHooks(const std::string& topic) {
   TopicFollower::Hooks hooks;
   hooks.lost = [this, topic](const std::string& reason) {
@@ -75,7 +76,8 @@
   return options;
 }
 
-// An engine that was leaving, by its own word or the list's, or is off the list has ended by plan.
+// An engine that was announced as leaving, by itself or by the list, or that is no longer
+// listed, has ended by plan and not crashed.
 CrashWatch::Hooks GatewayServer::CrashWatchHooks() {
   CrashWatch::Hooks hooks;
   hooks.was_in_use = [this](const EngineRecord& engine) {
--- a/src/gateway/gateway_server_pages.cc
+++ b/src/gateway/gateway_server_pages.cc
@@ -1,4 +1,4 @@
-// What operators read of a gateway: its figures as metrics, and its state as JSON.
+// The operators' pages of a gateway: its metrics, and its state as JSON.
 
 #include <nlohmann/json.hpp>
 
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -1,4 +1,5 @@
-// load_exchange.h tells the method.
+// Implementation of load_exchange.h: registration in the peers' topic, receiving datagrams, and
+// sending them.
 
 #include "gateway/load_exchange.h"
 
@@ -12,15 +13,17 @@
 namespace gullward {
 namespace {
 
-// Peers come and go rarely; the longest wait that the store allows costs least.
+// Peers change rarely, so a read waits as long as the store allows, which costs the fewest
+// calls.
 constexpr Duration kPeersWait = seconds(30);
-// Nothing depends on hearing of a peer at once, and a fleet that starts makes as many entries
-// as it has gateways.
-constexpr Duration kGatherPeers = seconds(2);
-constexpr Duration kRegisterPatience = seconds(1);
-// After the store's return every gateway reads the peers' topic anew and then writes its own
-// entry: so much time for each gateway, and the store has a hundred of each a second.
-constexpr Duration kReturnPauseForPeer = milliseconds(10);
+// A new peer need not be known immediately, and a fleet that starts writes one entry per
+// gateway, so the follower waits this long for more entries after one.
+constexpr Duration kPeersBatchDelay = seconds(2);
+constexpr Duration kRegisterTimeout = seconds(1);
+// After the store's return every gateway reads the peers' topic again and then writes its own
+// entry.  The reads spread over this time per gateway, so the store gets about 100 reads and
+// 100 writes a second.
+constexpr Duration kReturnDelayPerPeer = milliseconds(10);
 
 }  // namespace
 
@@ -38,7 +41,7 @@
       registrar(event_loop, settings.store, &store_recovery->returns()),
       follower(
           event_loop, settings.store, store_recovery,
-          {std::string(platform::kPeersTopic), kPeersWait, kGatherPeers},
+          {std::string(platform::kPeersTopic), kPeersWait, kPeersBatchDelay},
           {.replace =
                [this](const std::vector<platform::KeyedRecord>& records) {
                  this->OnPeerRecords(records);
@@ -70,12 +73,13 @@
 }
 
 Duration LoadExchange::RandomDelayAfterReturn() {
-  double longest = ToSeconds(kReturnPauseForPeer) * static_cast<double>(this->directory.size());
-  std::uniform_real_distribution<double> draw(0, longest);
-  return FromSeconds(draw(this->random));
+  double max_seconds = ToSeconds(kReturnDelayPerPeer) * static_cast<double>(this->directory.size());
+  std::uniform_real_distribution<double> delay_seconds(0, max_seconds);
+  return FromSeconds(delay_seconds(this->random));
 }
 
-// The topic comes into being by the first record, so it may not be there to be read.
+// A read of the topic fails until the first record is written, so a failed read also triggers
+// the registration.
 void LoadExchange::RegisterOnce() {
   if (std::exchange(this->is_registered, true)) return;
   this->Register();
@@ -83,7 +87,7 @@
 
 void LoadExchange::Register() {
   platform::KeyedRecord record{this->box, this->OwnEntry()};
-  this->registrar.Call(platform::AppendKeyed(platform::kPeersTopic, record), kRegisterPatience,
+  this->registrar.Call(platform::AppendKeyed(platform::kPeersTopic, record), kRegisterTimeout,
                        [this](const StoreAnswer& answer) {
                          if (answer.ok()) return;
                          this->log->Write(LogLine("register_failed")
@@ -93,14 +97,14 @@
                        });
 }
 
-// A process that starts again where it was finds its entry there.  Writing it once more
-// would cost each of the others a read.
+// Registers this gateway if its entry is missing.  A process that restarts at the same address
+// finds its entry in place; writing it again would cost each peer a read.
 void LoadExchange::OnPeerRecords(const std::vector<platform::KeyedRecord>& records) {
   platform::KeyedRecord own{this->box, this->OwnEntry()};
-  bool is_there = std::find(records.begin(), records.end(), own) != records.end();
+  bool has_own_entry = std::find(records.begin(), records.end(), own) != records.end();
   for (const platform::KeyedRecord& record : records) this->OnPeerRecord(record);
-  if (!is_there) this->RegisterOnce();
-  // Also where there are none: then it is known that this gateway is alone.
+  if (!has_own_entry) this->RegisterOnce();
+  // Set even for an empty list, which shows that this gateway has no peers.
   this->peers_changed = true;
 }
 
@@ -144,7 +148,7 @@
                                  now);
 }
 
-// Offsets and copies of one epoch say nothing in another.
+// Offsets and copy versions are comparable only within one epoch of the store.
 void LoadExchange::OnStoreState(const LoadDigest& digest) {
   if (digest.store_epoch) {
     this->hooks.on_store_epoch(*digest.store_epoch, digest.epoch_is_settled);
@@ -172,7 +176,7 @@
   if (peer != nullptr) this->SendGossip(*peer, std::move(reply), Now());
 }
 
-// One part at a time, to a few: what waits goes with the next ticks.
+// Sends one batch per tick to kFanout random peers; the rest stays queued for later ticks.
 void LoadExchange::SendPendingGossip(Time now) {
   CrashNews news = this->hooks.take_gossip();
   if (news.empty()) return;
@@ -224,10 +228,10 @@
   this->SendToCells(this->TakeUnsent(refresh, now), now);
 }
 
-// The loads that the others must hear of now, or all of them; they count as told.
+// Returns the loads to send: the changed ones, or all of them.  Marks them as sent.
 std::map<std::string, EngineLoad> LoadExchange::TakeUnsent(bool all, Time now) {
   std::map<std::string, EngineLoad> own = this->fleet->loads().Own(now);
-  // What was told and is no more is told once as zero.
+  // A load that was sent and has ended is sent once more, as zero.
   for (const auto& [engine, load] : this->sent_loads) own.try_emplace(engine);
   std::map<std::string, EngineLoad> unsent;
   bool count_reading = this->fleet->mechanisms().tell_reading;
@@ -254,7 +258,7 @@
   return neighbours;
 }
 
-// Nobody where the engine is no longer listed: nobody chooses it then.
+// Returns no gateways for an engine that is no longer listed, since no gateway chooses it.
 std::vector<const Peer*> LoadExchange::GatewaysOfEngine(const std::string& engine, Time now) {
   const EngineRecord* record = this->fleet->directory().FindIncarnation(engine);
   if (record == nullptr) return {};
@@ -263,7 +267,8 @@
   return this->directory.NextOf(record->service, cells, cells.CellOf(*record), plan.revision());
 }
 
-// To the members of each engine's cell; engines with the same ones share datagrams.
+// Sends each load to the members of the engine's cell.  Engines with the same members share
+// datagrams.
 void LoadExchange::SendToCells(const std::map<std::string, EngineLoad>& loads, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, EngineLoad>> by_members;
   for (const auto& [engine, load] : loads) {
@@ -272,7 +277,7 @@
   for (auto& [members, part] : by_members) this->SendInParts(std::move(part), members, now);
 }
 
-// Datagrams are small: a long list takes several.
+// Sends a long list in several datagrams, since each holds at most kEntriesPerDatagram loads.
 void LoadExchange::SendInParts(std::map<std::string, EngineLoad> loads,
                                const std::vector<const Peer*>& to, Time now) {
   if (loads.empty() || to.empty()) return;
@@ -303,7 +308,7 @@
   for (const Peer* peer : receivers) this->Send(*peer, datagram);
 }
 
-// Changes at once, all that still holds in each round.
+// Sends changed notices, or in a refresh round all notices that still hold.
 void LoadExchange::SendNotices(bool all, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, NoticeWord>> by_members;
   for (const auto& [engine, word] : this->fleet->NoticesToTell(all, now)) {
@@ -336,7 +341,8 @@
   }
 }
 
-// The members of the home cell tell each other something in every round.
+// Members of the home cell send each other a datagram in every round, so a silent member has
+// failed or is unreachable.
 void LoadExchange::UpdateSilentPeers(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.Of(plan.main_service());
@@ -354,7 +360,8 @@
   this->socket.Send(peer.address, datagram);
 }
 
-// What all datagrams of a round have in common; each takes a sequence of its own.
+// Returns a datagram with the fields that all datagrams of a round share.  The caller sets the
+// sequence number.
 LoadDigest LoadExchange::NewDigest(Time now) {
   LoadDigest digest;
   digest.box = this->box;
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -1,26 +1,30 @@
-// Gateways tell each other what they have on each engine.
+// Exchanges engine loads and other state with the peers, by UDP datagrams.
 //
-// Each gateway follows a topic of the store in which each has its entry, with the address
-// of its datagram socket and its data centre; it writes its own where that is not there, so
-// that a fleet whose processes all start again costs no write and no read of it.  Then, a few times
-// a second, it sends what has changed of its own work, and now and then all of it, to those that
-// work on the same engines: the members of the engine's cell (serving/cell_map.h).
-// Each datagram also names the engines that the sender has set aside
-// (serving/peer_suspicion.h).
+// Each gateway follows a topic of the store that holds one entry per gateway: the address of
+// its datagram socket and its data centre.  A gateway writes its own entry only if the topic
+// lacks it, so a restart of the whole fleet causes no writes and no reads of new entries.
 //
-// Every half second, and after each proof of the sender's own, each neighbour (a member
-// of the home cell) also gets a note on how current the sender's configuration is
-// (serving/peer_freshness.h), so that a gateway that is cut off from the store can go on
-// accepting keys.  What engines have said of themselves goes to the members of their cells
-// (serving/engine_notices.h).  And a few gateways of other cells, drawn by chance, are offered
-// engines of this one (serving/spill.h).
+// A few times a second a gateway sends the changes of its own engine loads to the gateways that
+// work on the same engines, which are the members of each engine's cell (serving/cell_map.h).
+// Now and then it sends all of its loads.  Each datagram also lists the engines that the sender
+// has set aside (serving/peer_suspicion.h).
 //
-// Nothing depends on a datagram: what is lost is told again, and what is not told
-// any more is forgotten (serving/engine_load.h).
+// Three kinds of datagrams carry other state:
+//   - Each neighbour (a member of the home cell) receives a note on how current the sender's
+//     configuration is, every half second and whenever the sender has revalidated it
+//     (serving/peer_freshness.h).  A gateway that cannot reach the store can therefore go on
+//     accepting keys.
+//   - The members of an engine's cell receive the notices that the engine has sent
+//     (serving/engine_notices.h).
+//   - A few random gateways of other cells receive offers of this cell's engines
+//     (serving/spill.h).
+//
+// The protocol tolerates lost datagrams: all state is sent again periodically, and state that
+// is no longer received expires (serving/engine_load.h).
 //
 //   LoadExchange exchange(&loop, settings, incarnation, &fleet, &log, &recovery, hooks);
-//   absl::Status status = exchange.Start();
-//   exchange.Tell(now);              // after a dispatch
+//   absl::Status status = exchange.Start(port);
+//   exchange.SendLoads(now);         // after a dispatch
 //   exchange.Tick(now);              // every few milliseconds
 
 #ifndef GULLWARD_GATEWAY_LOAD_EXCHANGE_H_
@@ -46,43 +50,47 @@
 
 class LoadExchange {
  public:
-  // How long changes that nobody waits for are gathered: a prompt has been read, an
-  // answer has ended.  Every datagram goes to every peer, and with 28 gateways they
-  // outnumbered the events that were passed on.
+  // Interval at which changes are sent that no peer urgently needs, such as the end of a
+  // prompt's prefill or of an answer.  Every datagram goes to every peer of the cell: without
+  // this interval, 28 gateways sent more datagrams than they forwarded stream events.
   static constexpr Duration kSendInterval = milliseconds(100);
-  // How often everything is told, changed or not.
+  // Interval at which all loads are sent, changed or not.
   static constexpr Duration kRefreshInterval = milliseconds(500);
-  // Notices of engines that have not changed are told again each so many times.
+  // Unchanged notices of engines are sent again once in this many refresh rounds.
   static constexpr int kRoundsPerNoticeRefresh = 4;
-  // Entries that fit into one datagram with room to spare.
+  // The number of entries per datagram, which fits with room to spare.
   static constexpr size_t kEntriesPerDatagram = 12;
-  // Engines set aside that one datagram names at most.
+  // The maximum number of engines set aside that one datagram lists.
   static constexpr size_t kMaxSetAsideEntries = 16;
 
-  // What a note says and proves; the owner keeps the configuration.
+  // Connects the exchange to the configuration, the engine list, the store's epoch and the
+  // quarantine, which their owners keep.
   struct Hooks {
     std::function<uint64_t()> config_version;
-    // When our own version was last proved current.
+    // When this gateway's configuration was last shown to be current.
     std::function<Time()> validated_at;
-    // A peer has proved our version current at that time.
+    // Called when a peer's note shows that the configuration was current at that time.
     std::function<void(Time)> on_validated;
-    // A peer has a newer version than we.
+    // Called when a peer has a newer configuration than this gateway.
     std::function<void(uint64_t config_version, const Peer& peer)> on_newer_version;
-    // What the copy of the engines' list holds, as we know it and as a peer does.
+    // The version of the engine list's copy in the store: as this gateway has it, and called
+    // with a peer's report of it.
     std::function<CopyMark()> engines_copied;
     std::function<void(const CopyMark& mark)> on_engines_copied;
-    // How far we have read the engines' list, and how far a peer has.
+    // The offset up to which the engine list has been read: by this gateway, and called with
+    // a peer's report of its own offset.
     std::function<uint64_t()> engines_read_to;
     std::function<void(uint64_t offset)> on_engines_read_to;
-    // The store's epoch as a peer knows it, and whether it has for long enough.
+    // Called with the store's epoch that a peer reports, and whether that peer regards the
+    // epoch as settled.
     std::function<void(uint64_t epoch, bool is_settled)> on_store_epoch;
-    // News of engines that ended, to be told to a few; nothing in it where there is none.
+    // Takes the crash reports that are due to be sent to a few peers; empty if there are none.
     std::function<CrashNews()> take_gossip;
-    // A peer's news, and what to tell that peer in turn.
+    // Called with crash reports from a peer.  Returns what to send to that peer in reply.
     std::function<CrashNews(const std::string& box, const CrashNews& news)> on_gossip;
-    // An entry of the peers' topic that is about a content in quarantine.
+    // Called with an entry of the peers' topic about a quarantined request content.
     std::function<void(ContentId content, const std::string& value)> quarantine_record;
-    // The entry of the peers' topic that says which epoch of the store is settled.
+    // Called with the entry of the peers' topic that names the settled epoch of the store.
     std::function<void(const std::string& value)> settled_epoch_record;
   };
 
@@ -90,28 +98,30 @@
                Fleet* shared_fleet, EventLog* event_log, StoreRecovery* store_recovery,
                Hooks exchange_hooks);
 
-  // Hears peers at `port`; 0 leaves the choice to the kernel.
+  // Starts receiving datagrams at `port`, which the kernel chooses if it is 0, and following
+  // the peers' topic.
   absl::Status Start(uint16_t port);
 
-  // Sends what has changed since it was last told: at once, for new work that others
-  // must not plan over.
+  // Sends the loads that have changed since they were last sent.  Called immediately after a
+  // dispatch, so that peers take the new work into account.
   void SendLoads(Time now);
-  // The same after changes have gathered for a while; to be called often.
+  // Sends pending crash reports, and load changes once per kSendInterval.  Call it often.
   void Tick(Time now);
 
-  // The store has returned without what was written lately: our entry is written again where
-  // the topic lacks it.
+  // Handles the store's return from an older copy: this gateway's entry is written again if the
+  // topic lacks it.
   void OnStoreReturn() { this->is_registered = false; }
 
-  // Tells how current our configuration is: at once after a proof of our own.
+  // Sends each neighbour a note on how current the configuration is.  Called in every refresh
+  // round and immediately after a revalidation.
   void SendFreshness(Time now);
 
-  // All gateways that are known besides this one.
+  // The number of known gateways, without this one.
   size_t peers() const { return this->directory.size(); }
-  // Those in the home cell.
+  // The number of gateways in the home cell, without this one.
   size_t neighbours() const { return this->neighbour_count; }
-  // Datagrams sent and received, their bytes, and members of cells that were left for a
-  // later round, since the process began.
+  // Since the process started: datagrams sent, their bytes, datagrams received, and cell
+  // members to which a round's datagrams were not sent because the cell is large.
   uint64_t datagrams_sent() const { return this->sent; }
   uint64_t bytes_sent() const { return this->sent_bytes; }
   uint64_t datagrams_received() const { return this->received; }
@@ -157,7 +167,7 @@
   bool is_registered = false;
   TopicFollower follower;
   PeerDirectory directory;
-  // Since the fleet was last told of them.
+  // Whether the directory has changed since the fleet was last given its names.
   bool peers_changed = false;
   std::mt19937_64 random;
   Hooks hooks;
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -1,4 +1,4 @@
-// Each call has a number, so that an overdue one is told from the next.
+// Calls are numbered, so that a timeout applies only to its own call.
 
 #include "gateway/store_client.h"
 
@@ -8,7 +8,7 @@
 
 namespace gullward {
 
-void StoreClient::Call(const platform::HttpCallText& call, Duration patience, Done done) {
+void StoreClient::Call(const platform::HttpCallText& call, Duration timeout, Done done) {
   bool usable = this->channel && this->channel->reusable();
   if (!usable) this->channel = RequestChannel::Open(this->loop, this->address);
   this->incoming = {};
@@ -37,22 +37,22 @@
     if (result != ChannelResult::kWholeAnswer) {
       this->Finish(number, {0, "", "connection lost", std::nullopt});
     } else if (!this->IsUsable(this->incoming)) {
-      this->Finish(number, {0, "", "of before the store's return", std::nullopt});
+      this->Finish(number, {0, "", "answer from before the store's return", std::nullopt});
     } else {
       this->Finish(number, StoreAnswer(this->incoming));
     }
   };
   this->channel->Send(request, std::move(hooks), /*is_head=*/false);
-  this->ScheduleTimeout(number, patience);
+  this->ScheduleTimeout(number, timeout);
 }
 
 void StoreClient::ScheduleTimeout(uint64_t number, Duration after) {
   this->loop->RunAfter(after, [this, number] {
-    bool under_way = number == this->call_count && this->pending;
-    if (!under_way) return;
-    bool is_coming =
+    bool is_waiting = number == this->call_count && this->pending;
+    if (!is_waiting) return;
+    bool is_progressing =
         this->incoming.status != 0 && this->TimeSinceProgress(Now()) < kProgressTimeout;
-    if (is_coming) {
+    if (is_progressing) {
       this->ScheduleTimeout(number, kProgressTimeout);
       return;
     }
@@ -60,10 +60,11 @@
   });
 }
 
-// Whoever stands before the store and turns calls away need not know of epochs.
+// A refusal without an epoch may come from a proxy in front of the store, which need not know
+// the epoch, so it is passed on without a check.
 bool StoreClient::IsUsable(const StoreAnswer& answer) {
-  bool tells = answer.epoch || answer.ok() || answer.status == platform::kRecordsGone;
-  return this->returns == nullptr || !tells ||
+  bool is_from_store = answer.epoch || answer.ok() || answer.status == platform::kRecordsGone;
+  return this->returns == nullptr || !is_from_store ||
          this->returns->RecordEpoch(answer.epoch, this->sent_at);
 }
 
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -1,11 +1,11 @@
-// One call after another to the platform's store.
+// Sends calls to the platform's store, one at a time.
 //
-//   StoreClient client(&loop, address);
+//   StoreClient client(&loop, address, &returns);
 //   client.Call(call, seconds(1), [](const StoreAnswer& answer) { ... });
 //
-// Every call gets exactly one answer, from the store or from the clock; what
-// comes for a call after that is not heard any more.  An answer of before the store's
-// return from an older copy counts as none (store_returns.h).
+// Every call gets exactly one answer: the store's answer, or a failure after a timeout or a lost
+// connection.  Anything received for the call after that is ignored.  An answer from before the
+// store's return from an older copy counts as a failure (store_returns.h).
 
 #ifndef GULLWARD_GATEWAY_STORE_CLIENT_H_
 #define GULLWARD_GATEWAY_STORE_CLIENT_H_
@@ -23,14 +23,14 @@
 namespace gullward {
 
 struct StoreAnswer {
-  // HTTP status; 0 where none came, and `reason` then says why.
+  // HTTP status, or 0 if there was no usable answer.  `reason` then states why.
   int status = 0;
   std::string body;
   std::string reason;
-  // The store's epoch as the answer tells it.
+  // The store's epoch that the answer states.
   std::optional<uint64_t> epoch;
 
-  // Whether the store did what was asked.
+  // Whether the store executed the call.
   bool ok() const { return this->status == 200; }
 
   bool operator==(const StoreAnswer&) const = default;
@@ -38,32 +38,32 @@
 
 class StoreClient {
  public:
-  // The store answers in milliseconds, a slow one in a few hundred; after this long a
-  // call counts as lost and another try is due.  Waiting on purpose comes on top.
+  // The store answers in milliseconds, or in a few hundred when it is slow.  After this time a
+  // call counts as lost and may be retried.  A requested wait at the store is added to it.
   static constexpr Duration kAnswerTimeout = milliseconds(1000);
-  // A call whose answer is still coming in is not overdue: a large configuration takes
-  // longer than that on a thin link.  Bytes come at least so often there.
+  // A call whose answer is still arriving does not time out, since a large configuration takes
+  // longer than kAnswerTimeout on a thin link.  Bytes then arrive at least this often.
   static constexpr Duration kProgressTimeout = milliseconds(400);
 
   using Done = std::function<void(const StoreAnswer&)>;
 
-  // `store_returns` may be null: then epochs are not heeded.
+  // `store_returns` may be null; the epochs of answers are then ignored.
   StoreClient(EventLoop* event_loop, SocketAddress store_address, StoreReturns* store_returns)
       : loop(event_loop), address(std::move(store_address)), returns(store_returns) {}
 
-  // Only one call at a time.
-  void Call(const platform::HttpCallText& call, Duration patience, Done done);
+  // Sends a call.  No other call may be in progress.
+  void Call(const platform::HttpCallText& call, Duration timeout, Done done);
 
-  // For how long nothing has come for the call under way; none where there is no call.
+  // The time since bytes last arrived for the call in progress, or zero without a call.
   Duration TimeSinceProgress(Time now) const;
 
-  // Drops the call under way: it gets no answer, and the next one a new connection.
+  // Cancels the call in progress: `done` is not called, and the next call uses a new connection.
   void Cancel();
 
-  // The next calls go to another server.  Only where no call is under way.
+  // Sends later calls to another server.  No call may be in progress.
   void SetAddress(SocketAddress next);
 
-  // Whether a call is under way.
+  // Whether a call is in progress.
   bool is_busy() const { return this->pending != nullptr; }
 
   uint64_t calls() const { return this->call_count; }
@@ -80,7 +80,7 @@
   uint64_t call_count = 0;
   StoreAnswer incoming;
   Time sent_at{};
-  // When the call was sent, then when bytes last came for it.
+  // When the call was sent, or when bytes last arrived for it.
   Time last_progress{};
   Done pending;
 };
--- a/src/gateway/store_recovery.cc
+++ b/src/gateway/store_recovery.cc
@@ -1,4 +1,4 @@
-// store_recovery.h tells the method.
+// Implementation of store_recovery.h.
 
 #include "gateway/store_recovery.h"
 
@@ -19,12 +19,12 @@
 }
 
 void StoreRecovery::StartPause() {
-  if (this->pausing || this->waiting.empty()) return;
-  this->pausing = true;
+  if (this->is_pausing || this->waiting.empty()) return;
+  this->is_pausing = true;
   Duration pause = this->next_pause;
   this->next_pause = std::min(2 * pause, kMaxPause);
   this->loop->RunAfter(pause, [this] {
-    this->pausing = false;
+    this->is_pausing = false;
     this->TryNext();
   });
 }
--- a/src/gateway/store_recovery.h
+++ b/src/gateway/store_recovery.h
@@ -1,17 +1,17 @@
-// Spaces out the calls of this process while the platform's store does not answer.
+// Paces the retries of this process while the platform's store does not answer.
 //
-// Several readers of one process would each try again and again, and every call has
-// its price, a refused one too.  So whoever's call has failed waits here: one of
-// those who wait tries after each pause, in turn, and the first answer that anyone
-// gets lets all the others go on at once.
+// A process has several clients of the store, and every call has a cost, even a refused one.
+// A client whose call has failed therefore registers here instead of retrying by itself.  After
+// each pause one registered client retries, in order of registration.  When any call succeeds,
+// all of them retry at once.
 //
-// It also keeps what all of them know of the store's returns (store_returns.h).
+// StoreRecovery also owns the process-wide record of the store's returns (store_returns.h).
 //
 //   StoreRecovery recovery(&loop);
-//   recovery.Wait([this] { this->ReadAgain(); });   // after a failed call
-//   recovery.NoteAnswer();                          // after one that worked
+//   recovery.RetryLater([this] { this->Read(); });  // after a failed call
+//   recovery.OnCallSucceeded();                     // after a successful call
 //
-// Whoever waits here must live as long as the loop runs.
+// A registered client must live as long as the loop runs.
 
 #ifndef GULLWARD_GATEWAY_STORE_RECOVERY_H_
 #define GULLWARD_GATEWAY_STORE_RECOVERY_H_
@@ -27,17 +27,17 @@
 
 class StoreRecovery {
  public:
-  // Pauses double from the first to the longest: the end of an outage of seconds
-  // must be noticed within a fraction of a second.
+  // The pauses double from the first to the longest, so that the end of an outage of several
+  // seconds is detected within a fraction of a second.
   static constexpr Duration kFirstPause = milliseconds(100);
   static constexpr Duration kMaxPause = milliseconds(400);
 
   explicit StoreRecovery(EventLoop* event_loop) : loop(event_loop), returns_seen(event_loop) {}
 
-  // The caller's own call has failed: it may try again when `retry` is called.
+  // Registers a client whose call has failed.  `retry` is called when it may retry.
   void RetryLater(std::function<void()> retry);
 
-  // A call has worked: all who wait try at once.
+  // Handles a successful call: all registered clients retry at once.
   void OnCallSucceeded();
 
   StoreReturns& returns() { return this->returns_seen; }
@@ -50,9 +50,9 @@
   EventLoop* loop;
   StoreReturns returns_seen;
   std::deque<std::function<void()>> waiting;
-  // The first again once the store has answered.
+  // Reset to kFirstPause when a call succeeds.
   Duration next_pause = kFirstPause;
-  bool pausing = false;
+  bool is_pausing = false;
 };
 
 }  // namespace gullward
--- a/src/gateway/store_returns.h
+++ b/src/gateway/store_returns.h
@@ -1,13 +1,13 @@
-// Notices that the platform's store has come back from an older copy, and tells those who
-// rest on what it had acknowledged.
+// Detects that the platform's store has returned from an older copy, and notifies the parts of
+// the process that rely on writes that the store had acknowledged.
 //
-// All clients of the store in this process note the epoch of each answer here
-// (serving/store_epoch.h).  After a return the listeners are told once, from the event loop,
-// so none of them is called in the middle of an answer's handling.
+// All clients of the store in this process record the epoch of each answer here
+// (serving/store_epoch.h).  After a return each listener is called once, from the event loop, so
+// that no listener runs while an answer is being handled.
 //
 //   StoreReturns returns(&loop);
 //   returns.OnReturn([this] { ... });       // read and write again what was lost
-//   bool usable = returns.Note(epoch, sent);
+//   bool usable = returns.RecordEpoch(epoch, sent);
 
 #ifndef GULLWARD_GATEWAY_STORE_RETURNS_H_
 #define GULLWARD_GATEWAY_STORE_RETURNS_H_
@@ -26,19 +26,19 @@
  public:
   explicit StoreReturns(EventLoop* event_loop) : loop(event_loop) {}
 
-  // Listeners must live as long as the loop runs.
+  // Adds a listener, which must live as long as the loop runs.
   void OnReturn(std::function<void()> listener) { this->listeners.push_back(std::move(listener)); }
 
-  // Takes the epoch that an answer tells to a call sent at `sent`.  Whether the answer may be
-  // used: not where it is from before a return that is known.
-  bool RecordEpoch(std::optional<uint64_t> told, Time sent) {
-    StoreEpoch::Standing standing = this->state.Hear(told, sent, Now());
+  // Records the epoch stated by the answer to a call sent at `sent`.  Returns whether the answer
+  // may be used: it may not if it was made before a known return of the store.
+  bool RecordEpoch(std::optional<uint64_t> answered, Time sent) {
+    StoreEpoch::Standing standing = this->state.Hear(answered, sent, Now());
     if (standing == StoreEpoch::Standing::kReturned) this->NotifyListeners();
     return standing != StoreEpoch::Standing::kOutdated;
   }
 
-  // A gateway has seen that epoch for long enough.
-  void Settle(uint64_t settled) { this->state.Settle(settled, Now()); }
+  // Records that a gateway has observed this epoch for long enough to regard it as settled.
+  void Settle(uint64_t settled_epoch) { this->state.Settle(settled_epoch, Now()); }
 
   const StoreEpoch& epoch() const { return this->state; }
 
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -1,4 +1,5 @@
-// Two states: reading pages, and following the tail (at first by a glance, after a failure).
+// The follower has two states: reading pages, and following the log's tail.  After a failure the
+// tail is first read by a probe.
 
 #include "gateway/topic_follower.h"
 
@@ -37,17 +38,17 @@
   return holds ? std::optional<uint64_t>(this->next_offset) : std::nullopt;
 }
 
-// What waits or comes now belongs to a log that is no more.
+// The read in progress and the pages read so far belong to an epoch that has ended.
 void TopicFollower::OnReturn() {
-  bool is_read_anew = !this->loaded && this->epoch == this->recovery->returns().epoch().current();
-  if (!this->started || is_read_anew) return;
+  bool is_restarted = !this->loaded && this->epoch == this->recovery->returns().epoch().current();
+  if (!this->started || is_restarted) return;
   this->loaded = false;
   this->pages.clear();
-  // One that pauses, or waits for the store to answer, goes on with the pages by itself.
+  // Without a call in progress, the pending pause or retry will read the pages.
   if (!this->client.is_busy()) return;
   this->client.Cancel();
-  bool waits = this->hooks.pause_after_return != nullptr;
-  this->ReadOnAfter(waits ? this->hooks.pause_after_return() : Duration(0));
+  bool has_pause = this->hooks.pause_after_return != nullptr;
+  this->ReadOnAfter(has_pause ? this->hooks.pause_after_return() : Duration(0));
 }
 
 void TopicFollower::ReadOnAfter(Duration pause) {
@@ -92,8 +93,8 @@
 
 void TopicFollower::OnPage(const StoreAnswer& answer) {
   if (!answer.ok()) {
-    bool came_late = answer.status == 0;
-    if (came_late) {
+    bool timed_out = answer.status == 0;
+    if (timed_out) {
       this->page_timeout = std::min(2 * this->page_timeout, kMaxPageTimeout);
     }
     this->Fail(ReasonOf(answer));
@@ -112,8 +113,8 @@
   }
   this->epoch = answer.epoch;
   this->Succeed();
-  // Pages are no snapshot: what changes between them is read again from the
-  // first page's end on.
+  // The pages are not a snapshot, so the tail is read from the end that the first page states:
+  // this covers changes made while the later pages were read.
   this->page_timeout = StoreClient::kAnswerTimeout;
   if (is_first) this->next_offset = page->end;
   this->ReportUnreadable(page->unreadable);
@@ -131,17 +132,17 @@
 
 void TopicFollower::WaitForChanges() { this->ReadTail(this->options.wait, kMaxHistoryKb); }
 
-void TopicFollower::ReadTail(Duration wait, size_t most_kb) {
+void TopicFollower::ReadTail(Duration wait, size_t max_kb) {
   this->call_sent = Now();
-  this->client.Call(platform::ReadFrom(this->options.topic, this->next_offset, wait, most_kb),
+  this->client.Call(platform::ReadFrom(this->options.topic, this->next_offset, wait, max_kb),
                     wait + StoreClient::kAnswerTimeout,
                     [this](const StoreAnswer& answer) { this->OnTail(answer); });
 }
 
 void TopicFollower::OnTail(const StoreAnswer& answer) {
-  bool has_place = this->IsCurrentEpoch(answer) && answer.status != platform::kRecordsGone;
-  bool came = answer.ok() || answer.status == platform::kRecordsGone;
-  if (came && !has_place) {
+  bool position_is_valid = this->IsCurrentEpoch(answer) && answer.status != platform::kRecordsGone;
+  bool is_answered = answer.ok() || answer.status == platform::kRecordsGone;
+  if (is_answered && !position_is_valid) {
     this->epoch = answer.epoch;
     this->Succeed();
     this->ReadPages();
@@ -171,12 +172,12 @@
   }
 }
 
-// An answer without any record holds nothing to go on from.
+// An answer without records gives no offset to continue from, so the pages are read again.
 void TopicFollower::OnShortTail(const platform::KeyedTail& tail) {
   uint64_t read_to = this->next_offset + tail.records.size();
   if (this->hooks.read_short) this->hooks.read_short(read_to, tail.end);
-  bool newest_is_less = tail.records.empty() || tail.end - read_to > this->key_count;
-  if (newest_is_less) {
+  bool pages_are_smaller = tail.records.empty() || tail.end - read_to > this->key_count;
+  if (pages_are_smaller) {
     this->ReadPages();
     return;
   }
@@ -188,7 +189,7 @@
   this->next_offset += tail.records.size();
   this->ReportUnreadable(tail.unreadable);
   for (const platform::KeyedRecord& record : tail.records) {
-    // What has no key says nothing of any.
+    // A record without a key belongs to no object.
     if (!record.key.empty()) this->hooks.change(record);
   }
 }
--- a/src/gateway/topic_follower.h
+++ b/src/gateway/topic_follower.h
@@ -1,23 +1,22 @@
-// Keeps up with one keyed topic of the platform's store.
+// Follows one keyed topic of the platform's store.
 //
-// First the newest record of each key is read, page by page, from where it stopped if a
-// page fails; then single reads
-// wait at the store for what comes next.  When a read fails, it is sent again when
-// store_recovery.h says so.
+// The follower first reads the newest record of each key, page by page.  If a page fails, it
+// resumes after the last page that succeeded.  It then follows the log: each read waits at the
+// store for the next records.  A failed read is sent again as store_recovery.h schedules it.
 //
-// The store answers a read with a bounded size and says where the log ends, so an answer
-// may stop short of the end.  Only one that reaches the end proves anything about what is
-// newest.  One that stops short shows how many records are missing: where they are more
-// than the topic has keys, the newest record of each key is less to read than the history,
-// and the pages are read anew, as they are where the store has dropped the records that
-// come next.  How much is missing after a failure is not known, so a glance (a read that
-// asks for next to nothing) comes first.
+// The store bounds the size of an answer and states the log's end in it, so an answer may end
+// before the log does.  Only an answer that reaches the log's end shows that nothing newer
+// exists.  An answer that stops short shows how many records are missing.  If more are missing
+// than the topic has keys, the newest records are less to read than the history, and the pages
+// are read again.  The pages are also read again if the store has dropped the next records.
+// After a failure the number of missing records is unknown, so the first read is a probe, which
+// asks for the smallest possible answer.
 //
-// Places in the log belong to the store's epoch in which they were read.  After the store's
-// return from an older copy (store_returns.h) the pages are read anew; pages of two epochs
-// are not put together.
+// An offset in the log is valid only in the store epoch in which it was read.  After the store's
+// return from an older copy (store_returns.h) the pages are read again.  Pages of different
+// epochs are never combined.
 //
-//   TopicFollower follower(&loop, store, {.topic = ..., .wait = seconds(2)}, hooks);
+//   TopicFollower follower(&loop, store, &recovery, {.topic = ..., .wait = seconds(2)}, hooks);
 //   follower.Start();
 
 #ifndef GULLWARD_GATEWAY_TOPIC_FOLLOWER_H_
@@ -38,47 +37,48 @@
 
 class TopicFollower {
  public:
-  // News that somebody else has seen comes by our own read within a fraction of a
-  // second, or that read hangs.
+  // A change that a peer has seen reaches this follower's own read within this time, unless
+  // the read is stuck.
   static constexpr Duration kMaxUpdateDelay = milliseconds(400);
-  // The longest time that a new read gets; news must be in force within two seconds.
+  // The longest time that a new read may be silent before RestartStalledRead replaces it.  A
+  // change must be in force within two seconds.
   static constexpr Duration kMaxSilenceLimit = milliseconds(1600);
-  // A page that has not come in time is asked for again with twice the patience, up to
-  // this: where a whole fleet starts at once, pages come late since everybody asks, and
-  // giving each up after a second left 300 gateways without the list of 3,000 engines for
-  // 30 s.
+  // Each page read that times out doubles the timeout, up to this.  Pages come late when a
+  // whole fleet starts and all gateways read at once: with a fixed timeout of one second, 300
+  // gateways were without the list of 3,000 engines for 30 s.
   static constexpr Duration kMaxPageTimeout = seconds(8);
-  // What an answer may hold of the history: a tenth of a second on a link of 20 Mbit/s.
+  // The largest answer to request from the history: 0.1 s on a link of 20 Mbit/s.
   static constexpr size_t kMaxHistoryKb = 256;
-  // The least that can be asked for: the answer tells where the log ends.
+  // The smallest answer that can be requested.  It still states the log's end.
   static constexpr size_t kProbeKb = 1;
 
   struct Options {
     std::string topic;
-    // How long one read waits at the store for a change, which comes at once.  The
-    // wait bounds how late a store that has gone silent is noticed; each read costs
-    // a call.
+    // How long one read waits at the store for a change.  A change is returned at once, so
+    // the wait bounds the delay until a silent store is detected.  Each read costs a call.
     Duration wait = seconds(2);
-    // After a change, how long to wait for more of them before reading on: a
-    // burst of changes then costs a few reads rather than one each.
+    // How long to wait for more changes after one before the next read, so that a burst of
+    // changes costs a few reads and not one per change.
     Duration batch_delay = milliseconds(0);
   };
   struct Hooks {
-    // All records, after the pages have been read.
+    // Called with all records, after all pages have been read.
     std::function<void(const std::vector<platform::KeyedRecord>&)> replace;
-    // One record more.
+    // Called with each later record.
     std::function<void(const platform::KeyedRecord&)> change;
-    // Everything that was in the log when a read was sent, at `sent`, has been told.
+    // Called after `replace` or `change` has delivered everything that was in the log when a
+    // read was sent, at `sent`.
     std::function<void(Time sent)> up_to_date;
-    // The store did not answer; then that it does again.
+    // Called when a call to the store first fails, and when a call next succeeds.
     std::function<void(const std::string& reason)> lost;
     std::function<void()> regained;
-    // An answer ended at `read_to`, before the log's end: there is more to read.
+    // Called when an answer ended at offset `read_to`, before the log's end.
     std::function<void(uint64_t read_to, uint64_t log_end)> read_short;
-    // So many records of an answer could not be read; the others have been told.
+    // Called with the number of records in an answer that could not be parsed.  The other
+    // records are delivered.
     std::function<void(size_t records)> unreadable;
-    // How long to wait after the store's return before the pages are read anew, so that a
-    // large fleet does not ask all at once; absent: not at all.
+    // Returns how long to wait after the store's return before the pages are read again, so
+    // that a large fleet does not read all at once.  Without this hook there is no wait.
     std::function<Duration()> pause_after_return;
   };
 
@@ -87,21 +87,21 @@
 
   void Start();
 
-  // How long the next reads wait.
+  // Sets how long later reads wait at the store.
   void SetWait(Duration wait) { this->options.wait = wait; }
 
-  // Gives up the read that waits, and reads on a new connection: to be called when news
-  // should have come by it.  A read that brings bytes is left alone, and each new one
-  // gets twice the time of the one before: where the store or the link is slow, giving
-  // up too soon would throw away every read before it is whole.  Tells whether it did;
-  // the store does not count as lost by it.
+  // Abandons the waiting read and reads again on a new connection.  Call it when a change
+  // should have been returned by now.  A read that has recently received bytes is left alone,
+  // and each new read may be silent for twice as long as the one before: on a slow store or
+  // link, earlier restarts would abandon every read before it is complete.  Returns whether
+  // the read was restarted.  A restart does not count as a loss of the store.
   bool RestartStalledRead();
 
-  // When a call first succeeded after failures; in the past where none failed.
+  // When a call last succeeded after failures.  In the past if no call has failed.
   Time regained_at() const { return this->regained; }
 
-  // The offset after the last record that was told; nothing before all pages were, nor where
-  // it was read before the store's return.
+  // The offset after the last delivered record.  Nothing before all pages have been read, and
+  // nothing if the offset was read before the store's return.
   std::optional<uint64_t> position() const;
 
   uint64_t calls() const { return this->client.calls(); }
@@ -112,7 +112,7 @@
   void OnReturn();
   void ReadPages();
   void ReadPage();
-  void ReadTail(Duration wait, size_t most_kb);
+  void ReadTail(Duration wait, size_t max_kb);
   void WaitForChanges();
   bool IsCurrentEpoch(const StoreAnswer& answer) const { return answer.epoch == this->epoch; }
   void OnPage(const StoreAnswer& answer);
@@ -128,21 +128,21 @@
   StoreRecovery* recovery;
   Options options;
   Hooks hooks;
-  // Those that have come; reading goes on after them when it has failed.
+  // The records of the pages read so far.  After a failure the next page follows them.
   std::vector<platform::KeyedRecord> pages;
   Duration page_timeout = StoreClient::kAnswerTimeout;
   Time pages_sent{};
-  // That of the pages, and of all that has been read since.
+  // The store epoch of the pages and of everything read since.
   std::optional<uint64_t> epoch;
   bool started = false;
   bool loaded = false;
-  // How many keys the topic had when its pages were last read.
+  // The number of keys that the topic had when its pages were last read.
   size_t key_count = 0;
   uint64_t next_offset = 0;
   Time call_sent{};
-  // Whether the last call failed and none has succeeded since.
+  // Whether the last call has failed.
   bool is_lost = false;
-  // How long a read may bring nothing before ReadAgain gives it up.
+  // How long a read may receive no bytes before RestartStalledRead abandons it.
   Duration silence_limit = kMaxUpdateDelay;
   Time regained{};
 };
