--- a/src/gateway/engine_list_copy.cc
+++ b/src/gateway/engine_list_copy.cc
@@ -1,4 +1,4 @@
-// One call at a time: a write goes record by record, a read page by page.
+// Store calls are sent one at a time: a write sends record by record, a read page by page.
 
 #include "gateway/engine_list_copy.h"
 
@@ -13,15 +13,16 @@
 namespace gullward {
 namespace {
 
-uint64_t HashOf(const std::string& text) { return XXH64(text.data(), text.size(), 0); }
+uint64_t Hash(const std::string& text) { return XXH64(text.data(), text.size(), 0); }
 
-// The records of a list.  An engine's place does not depend on the others; records of
-// an earlier, longer list are emptied.
-std::map<std::string, std::string> RecordsOf(const std::vector<EngineRecord>& list,
-                                             size_t parts_before, size_t* parts) {
+// Splits a list into records by a hash of the engine id, so an engine's record does not depend
+// on the other engines.  Returns at least `min_parts` records; the extra ones are empty and
+// overwrite the records of an earlier, longer list.  Sets `parts` to the number of other records.
+std::map<std::string, std::string> SplitIntoRecords(const std::vector<EngineRecord>& list,
+                                                    size_t min_parts, size_t* parts) {
   *parts = 1 + list.size() / EngineListCopy::kEnginesPerPart;
-  std::vector<std::vector<EngineRecord>> split(std::max(*parts, parts_before));
-  for (const EngineRecord& engine : list) split[HashOf(engine.id) % *parts].push_back(engine);
+  std::vector<std::vector<EngineRecord>> split(std::max(*parts, min_parts));
+  for (const EngineRecord& engine : list) split[Hash(engine.id) % *parts].push_back(engine);
   std::map<std::string, std::string> records;
   for (size_t i = 0; i < split.size(); ++i) {
     records[absl::StrCat("part-", i)] = EncodeEngineList(split[i]);
@@ -42,14 +43,14 @@
 
 void EngineListCopy::SetList(std::vector<EngineRecord> engines, Time now) {
   this->list = std::move(engines);
-  this->schedule.NoteList(HashOf(EncodeEngineList(this->list)), now);
+  this->schedule.NoteList(Hash(EncodeEngineList(this->list)), now);
 }
 
 void EngineListCopy::Tick(Time now) {
   if (this->is_busy || !this->schedule.IsDue(now)) return;
   this->schedule.NoteWritten(now);
   size_t parts = 0;
-  this->unwritten = RecordsOf(this->list, this->parts_written, &parts);
+  this->unwritten = SplitIntoRecords(this->list, this->parts_written, &parts);
   this->parts_written = parts;
   this->log->Write(
       LogLine("engines_copied").Number("listed", static_cast<double>(this->list.size())));
@@ -64,7 +65,8 @@
   this->client.Call(platform::AppendKeyed(platform::kEnginesCopyTopic, record),
                     StoreClient::kAnswerTimeout, [this](const StoreAnswer& answer) {
                       if (answer.ok()) return this->WriteNext();
-                      // The next change, or the next pause, tries anew.
+                      // The next change of the list, or the end of the next pause, starts
+                      // another write.
                       this->unwritten.clear();
                       this->is_busy = false;
                       this->schedule.NoteFailed();
@@ -110,7 +112,7 @@
   }
   if (page->more && !page->records.empty()) return this->ReadAfter(page->records.back().key);
   this->is_busy = false;
-  // Nothing there: before the first copy there is only the list itself.
+  // No copy exists before the first write.  The gateway then depends on the list alone.
   if (!this->found.empty() && this->hooks.is_needed()) {
     this->log->Write(
         LogLine("engines_from_copy").Number("listed", static_cast<double>(this->found.size())));
--- a/src/gateway/engine_list_copy.h
+++ b/src/gateway/engine_list_copy.h
@@ -1,24 +1,25 @@
-// A copy of the engines' list in a topic of our own.
+// Keeps a copy of the engine list in a topic that the gateways write.
 //
-// The platform's store may turn away the reads of one topic and serve another.  A
-// gateway that starts in such a time knows the configuration but no engine, and would
-// refuse every request until the list can be read.  So the gateways keep the list a
-// second time (serving/copy_schedule.h tells who writes and when), and one that cannot
-// read the list at its start reads the copy.  The list replaces it as soon as it comes.
+// The platform's store may refuse reads of one topic and serve another.  A gateway that starts
+// at that time knows the configuration but no engines, and would refuse every request until the
+// list can be read.  Therefore the gateways store the list a second time
+// (serving/copy_schedule.h decides which gateway writes, and when), and a starting gateway uses
+// the copy until it has read the list.
 //
-// A list of more than kEnginesInPart engines takes several records, since the store
-// bounds a record's size.
+// A starting gateway always reads the copy first, because the copy has a third of the list's
+// bytes: for 300 gateways that start together beside 3,000 engines, the reads of the list total
+// 390 MB and the reads of the copy 120 MB.
 //
-// A gateway reads the copy first, since it takes a third of the list's bytes: where 300
-// start at once beside 3,000 engines, the lists are 390 MB and the copies 120 MB.
+// The store bounds the size of a record, so a list of more than kEnginesPerPart engines takes
+// several records.
 //
 //   EngineListCopy copy(&loop, store, &recovery, &log, seed, hooks);
-//   copy.NoteList(engines, now);      // after each change of the list
+//   copy.SetList(engines, now);       // after each change of the list
 //   copy.Tick(now);                   // a few times a second
-//   copy.Read();                      // the list cannot be read
+//   copy.Read();                      // when the list cannot be read
 //
-// It costs the fleet a call of the store for each change of the list, at most about one every
-// two seconds.
+// The copy costs the whole fleet one store call per record for each change of the list, at most
+// once in about two seconds.
 
 #ifndef GULLWARD_GATEWAY_ENGINE_LIST_COPY_H_
 #define GULLWARD_GATEWAY_ENGINE_LIST_COPY_H_
@@ -38,36 +39,37 @@
 
 class EngineListCopy {
  public:
-  // An entry takes 100 bytes, and a record 256 KiB at most.
+  // The maximum number of engines in one record.  An engine takes 100 bytes, and a record may
+  // have 256 KiB.
   static constexpr size_t kEnginesPerPart = 1000;
 
   struct Hooks {
-    // Whether the engines are unknown, so that the copy is wanted.
+    // Returns whether the engines are still unknown, so that the copy is needed.
     std::function<bool()> is_needed;
-    // What the copy holds.
+    // Called with the engines of the copy.
     std::function<void(const std::vector<EngineRecord>&)> use;
-    // The first reading has ended, with the copy or without.
+    // Called when the first read has ended, successfully or not.
     std::function<void()> first_read_done;
   };
 
   EngineListCopy(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
                  EventLog* event_log, uint64_t seed, Hooks copy_hooks);
 
-  // The list as it is now.
+  // Sets the current engine list.
   void SetList(std::vector<EngineRecord> engines, Time now);
-  // The store has returned without what was written lately; it is written again.
+  // Handles the store's return from an older copy: the list is written again.
   void OnStoreReturn() { this->schedule.NoteLost(this->recovery->returns().epoch().settled_at()); }
-  // A peer's word on the content of the copy.
+  // Handles a peer's report of the version of the copy.
   void OnPeerCopy(const CopyMark& mark, Time now) { this->schedule.NoteCopy(mark, now); }
-  // What we tell peers of it.
+  // The version of the copy to report to peers.
   const CopyMark& copied() const { return this->schedule.copy(); }
-  // How many gateways tell each other of it.
+  // Sets the number of gateways that report the version of the copy to each other.
   void SetGateways(size_t count) { this->schedule.SetGateways(count); }
 
-  // Writes the copy when that is due.
+  // Writes the copy if that is due.
   void Tick(Time now);
 
-  // Reads the copy, again and again while it is wanted and does not come.
+  // Reads the copy, and retries while it is needed and the read fails.
   void Read();
 
   uint64_t store_calls() const { return this->client.calls(); }
@@ -85,7 +87,7 @@
   CopySchedule schedule;
   Hooks hooks;
   std::vector<EngineRecord> list;
-  // Records that are still to be written, by key.
+  // The records that remain to be written, by key.
   std::map<std::string, std::string> unwritten;
   size_t parts_written = 0;
   bool is_busy = false;
--- a/src/gateway/gateway_server_pages.cc
+++ b/src/gateway/gateway_server_pages.cc
@@ -8,32 +8,32 @@
 namespace gullward {
 
 std::string GatewayServer::Metrics() const {
-  MetricsSnapshot figures;
-  figures.engine_connections = this->state.pool.opened() + this->crash_watch.connections();
-  figures.crashes = &this->crash_watch;
-  figures.log_lines_dropped = this->log.dropped();
-  figures.store_calls = this->config_follower.calls() + this->engine_follower.calls() +
-                        this->load_exchange.store_calls() + this->config_revalidator.calls() +
-                        this->engine_list_copy.store_calls() + this->crash_watch.store_calls() +
-                        this->settled_epoch_writer.store_calls();
-  figures.configs_from_peers = this->config_from_peers.received();
-  figures.store_returns = this->store_recovery.returns().epoch().returns();
-  figures.engines = this->state.fleet.directory().size();
-  figures.peers = this->load_exchange.peers();
-  figures.neighbours = this->load_exchange.neighbours();
-  figures.home_engines = this->state.fleet.home_engines();
-  figures.datagrams_sent = this->load_exchange.datagrams_sent();
-  figures.datagram_bytes_sent = this->load_exchange.bytes_sent();
-  figures.datagrams_received = this->load_exchange.datagrams_received();
-  figures.peers_deferred = this->load_exchange.deferred_peers();
+  MetricsSnapshot snapshot;
+  snapshot.engine_connections = this->state.pool.opened() + this->crash_watch.connections();
+  snapshot.crashes = &this->crash_watch;
+  snapshot.log_lines_dropped = this->log.dropped();
+  snapshot.store_calls = this->config_follower.calls() + this->engine_follower.calls() +
+                         this->load_exchange.store_calls() + this->config_revalidator.calls() +
+                         this->engine_list_copy.store_calls() + this->crash_watch.store_calls() +
+                         this->settled_epoch_writer.store_calls();
+  snapshot.configs_from_peers = this->config_from_peers.received();
+  snapshot.store_returns = this->store_recovery.returns().epoch().returns();
+  snapshot.engines = this->state.fleet.directory().size();
+  snapshot.peers = this->load_exchange.peers();
+  snapshot.neighbours = this->load_exchange.neighbours();
+  snapshot.home_engines = this->state.fleet.home_engines();
+  snapshot.datagrams_sent = this->load_exchange.datagrams_sent();
+  snapshot.datagram_bytes_sent = this->load_exchange.bytes_sent();
+  snapshot.datagrams_received = this->load_exchange.datagrams_received();
+  snapshot.peers_deferred = this->load_exchange.deferred_peers();
   const EngineNotices& notices = this->state.fleet.notices();
-  figures.engines_limited = notices.limited();
-  figures.engines_leaving = notices.leaving();
-  figures.engines_resting = notices.resting(Now());
-  figures.notices_forgotten = notices.forgotten();
-  figures.config_version = this->ConfigVersion();
-  figures.config_age = Now() - this->state.keys.confirmed_at();
-  return MetricsPage(this->state.counters, figures);
+  snapshot.engines_limited = notices.limited();
+  snapshot.engines_leaving = notices.leaving();
+  snapshot.engines_resting = notices.resting(Now());
+  snapshot.notices_forgotten = notices.forgotten();
+  snapshot.config_version = this->ConfigVersion();
+  snapshot.config_age = Now() - this->state.keys.confirmed_at();
+  return MetricsPage(this->state.counters, snapshot);
 }
 
 std::string GatewayServer::StateDump() const {
--- a/src/gateway/http_pages.cc
+++ b/src/gateway/http_pages.cc
@@ -1,4 +1,4 @@
-// http_pages.h tells the use.
+// Implementation of http_pages.h.
 
 #include "gateway/http_pages.h"
 
@@ -10,10 +10,10 @@
 namespace gullward {
 namespace {
 
-// Whoever asks for a page has no body worth keeping.
-constexpr uint64_t kMostBodyBytes = 64 << 10;
+// A request for a page needs no body.
+constexpr uint64_t kMaxBodyBytes = 64 << 10;
 
-void AnswerWith(CallerChannel* channel, const HttpPage& page) {
+void SendPage(CallerChannel* channel, const HttpPage& page) {
   AnswerHead head;
   head.status = page.status;
   head.reason = page.reason;
@@ -21,11 +21,11 @@
   channel->Answer(head, page.body);
 }
 
-void AnswerMalformed(CallerChannel* channel, ResultCode code) {
+void SendBadRequest(CallerChannel* channel, ResultCode code) {
   HttpPage page;
   page.status = 400;
   page.reason = Info(code).name;
-  AnswerWith(channel, page);
+  SendPage(channel, page);
 }
 
 }  // namespace
@@ -43,15 +43,15 @@
 
 void HttpPages::Adopt(int fd) {
   CallerLimits limits;
-  limits.body_bytes = kMostBodyBytes;
+  limits.body_bytes = kMaxBodyBytes;
   auto channel = CallerChannel::Adopt(this->loop, fd, limits);
   std::weak_ptr<CallerChannel> weak = channel;
   CallerChannel::Hooks hooks;
   hooks.request = [this, weak](const CallerRequest& request) {
-    if (auto self = weak.lock()) AnswerWith(self.get(), this->handler(request.head.target));
+    if (auto self = weak.lock()) SendPage(self.get(), this->handler(request.head.target));
   };
   hooks.malformed = [weak](ResultCode code) {
-    if (auto self = weak.lock()) AnswerMalformed(self.get(), code);
+    if (auto self = weak.lock()) SendBadRequest(self.get(), code);
   };
   channel->SetHooks(std::move(hooks));
   this->channels.push_back(channel);
--- a/src/gateway/http_pages.h
+++ b/src/gateway/http_pages.h
@@ -1,5 +1,4 @@
-// Answers GET requests on accepted connections with pages that are made when they are asked
-// for.
+// Answers GET requests on accepted connections with pages that a handler produces on demand.
 //
 //   HttpPages pages(&loop, [](const std::string& path) { return HttpPage{...}; });
 //   listener.Listen(&loop, address, [&](int fd) { pages.Adopt(fd); });
@@ -34,10 +33,10 @@
 
   HttpPages(EventLoop* event_loop, Handler page_maker);
 
-  // Answers what is asked on an accepted connection.
+  // Takes over an accepted connection and answers its requests.
   void Adopt(int fd);
 
-  // Looks at the clock of each connection, and drops those that have closed.
+  // Checks the timers of each connection, and drops closed connections.
   void Tick(Time now);
 
   size_t connections() const { return this->channels.size(); }
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -118,7 +118,7 @@
 
   // The number of known gateways, without this one.
   size_t peers() const { return this->directory.size(); }
-  // The number of gateways in the home cell, without this one.
+  // The number of home cell members that the last round addressed, without this gateway.
   size_t neighbours() const { return this->neighbour_count; }
   // Since the process started: datagrams sent, their bytes, datagrams received, and cell
   // members to which a round's datagrams were not sent because the cell is large.
--- a/src/gateway/main.cc
+++ b/src/gateway/main.cc
@@ -1,8 +1,8 @@
-// gullward-gateway: serves callers on an entry box, straight from the engines.
+// gullward-gateway: accepts requests from callers on an entry box and forwards them directly to
+// the engines.
 //
-// The settings file is named by --settings or by the environment variable
-// GULLWARD_SETTINGS.  SIGTERM finishes what is under way; SIGHUP reads the
-// settings again.
+// The settings file is named by --settings or by the environment variable GULLWARD_SETTINGS.
+// SIGTERM finishes the requests in progress and stops; SIGHUP reads the settings again.
 
 #include <gflags/gflags.h>
 
@@ -55,9 +55,10 @@
 
 int main(int argc, char** argv) {
   using namespace gullward;
-  InitProcess("gullward-gateway --settings FILE: serves callers on an entry box", &argc, &argv);
-  const char* named = std::getenv("GULLWARD_SETTINGS");
-  if (FLAGS_settings.empty() && named != nullptr) FLAGS_settings = named;
+  InitProcess("gullward-gateway --settings FILE: accepts requests from callers on an entry box",
+              &argc, &argv);
+  const char* settings_file = std::getenv("GULLWARD_SETTINGS");
+  if (FLAGS_settings.empty() && settings_file != nullptr) FLAGS_settings = settings_file;
   std::vector<ConfigError> errors;
   std::optional<GatewaySettings> settings = ReadSettings(&errors);
   FinishSettings(errors);
--- a/src/gateway/metrics_page.h
+++ b/src/gateway/metrics_page.h
@@ -1,8 +1,8 @@
-// The gateway's metrics, as the text that Prometheus collects.
+// Produces the gateway's metrics in the Prometheus text format.
 //
-//   std::string page = MetricsPage(state.counters, figures);
+//   std::string page = MetricsPage(state.counters, snapshot);
 //
-// docs/OPERATIONS.md says what operators read off it.
+// docs/OPERATIONS.md explains how operators read the metrics.
 
 #ifndef GULLWARD_GATEWAY_METRICS_PAGE_H_
 #define GULLWARD_GATEWAY_METRICS_PAGE_H_
@@ -16,45 +16,45 @@
 
 namespace gullward {
 
-// What the page shows besides the counters of requests.
+// The values on the page besides the request counters.
 struct MetricsSnapshot {
-  // Since the process began.
+  // Counters since the process started.
   uint64_t engine_connections = 0;
   uint64_t log_lines_dropped = 0;
   uint64_t store_calls = 0;
-  // Configurations that peers have handed on.
+  // Configurations fetched from peers.
   uint64_t configs_from_peers = 0;
-  // Times that the store came back from an older copy.
+  // Returns of the store from an older copy.
   uint64_t store_returns = 0;
   uint64_t datagrams_sent = 0;
   uint64_t datagram_bytes_sent = 0;
   uint64_t datagrams_received = 0;
-  // Members of a cell that had to wait for a later round.
+  // Cell members that were put off to a later round because their cell is large.
   uint64_t peers_deferred = 0;
-  // At this moment.
+  // Current values.
   size_t engines = 0;
   size_t peers = 0;
-  // Of the home cell: the gateways that are told in one round, and the engines.
+  // Home cell: the other gateways addressed in one round, and the engines.
   size_t neighbours = 0;
   size_t home_engines = 0;
-  // Engines by the notices that hold, and, since the process began, those whose notices had
-  // to be dropped for want of room.
+  // Engines by the kind of notice in force, and the engines whose notices were evicted to make
+  // room since the process started.
   size_t engines_limited = 0;
   size_t engines_leaving = 0;
   size_t engines_resting = 0;
   uint64_t notices_forgotten = 0;
-  // 0 while there is no configuration.
+  // 0 without a configuration.
   uint64_t config_version = 0;
-  // Since the configuration was proved current.
+  // The time since the configuration was last shown to be current.
   Duration config_age{};
-  // Of requests that end engines; never null on the page.
+  // Requests that crash engines.  Never null when the page is produced.
   const CrashWatch* crashes = nullptr;
 
   bool operator==(const MetricsSnapshot&) const = default;
 };
 
-// Adds what the kernel says of this process: processor time and memory.
-std::string MetricsPage(const GatewayCounters& counters, const MetricsSnapshot& figures);
+// Returns the page, including the process's CPU time and peak memory as the kernel reports them.
+std::string MetricsPage(const GatewayCounters& counters, const MetricsSnapshot& snapshot);
 
 }  // namespace gullward
 
--- a/src/gateway/operator_pages.cc
+++ b/src/gateway/operator_pages.cc
@@ -1,4 +1,4 @@
-// operator_pages.h tells what they are.
+// Implementation of operator_pages.h.
 
 #include "gateway/operator_pages.h"
 
--- a/src/gateway/operator_pages.h
+++ b/src/gateway/operator_pages.h
@@ -1,9 +1,9 @@
-// The pages that operators and the balancer read: metrics as text, the process's
-// state as JSON, and whether the balancer may send callers here.
+// The pages for operators and the load balancer: metrics as text, the state of the process as
+// JSON, and whether the balancer may send callers to this gateway.
 //
 //   HttpPages pages(&loop, OperatorPages({.metrics = ..., .state = ..., .is_ready = ...}));
 //
-//   GET /metrics, GET /state, GET /readyz
+//   GET /metrics, GET /state, GET /readyz (also platform::kReadyPath)
 
 #ifndef GULLWARD_GATEWAY_OPERATOR_PAGES_H_
 #define GULLWARD_GATEWAY_OPERATOR_PAGES_H_
@@ -15,7 +15,7 @@
 
 namespace gullward {
 
-// What the pages show, asked for with each request.
+// Provide the content of the pages; called on every request.
 struct OperatorPageHooks {
   std::function<std::string()> metrics;
   std::function<std::string()> state;
--- a/src/gateway/quarantine_store.cc
+++ b/src/gateway/quarantine_store.cc
@@ -1,4 +1,5 @@
-// One write at a time; a wish that the topic has fulfilled meanwhile is dropped.
+// Writes are sent one at a time.  A pending write is dropped when the topic already shows its
+// result.
 
 #include "gateway/quarantine_store.h"
 
@@ -8,8 +9,8 @@
 
 void QuarantineStore::ScheduleWrite(ContentId content, std::string value, Duration wait,
                                     Duration spread, Time now) {
-  std::uniform_int_distribution<int64_t> draw(0, spread.count());
-  this->pending[content] = {std::move(value), now + wait + Duration(draw(this->random))};
+  std::uniform_int_distribution<int64_t> jitter(0, spread.count());
+  this->pending[content] = {std::move(value), now + wait + Duration(jitter(this->random))};
 }
 
 void QuarantineStore::ScheduleWriteByRole(ContentId content, std::string value, bool is_witness,
@@ -45,22 +46,21 @@
     this->stored.erase(content);
   }
   auto write = this->pending.find(content);
-  bool is_fulfilled =
-      write != this->pending.end() && write->second.value.empty() == !entry.has_value();
-  if (is_fulfilled) this->pending.erase(write);
+  bool is_done = write != this->pending.end() && write->second.value.empty() == !entry.has_value();
+  if (is_done) this->pending.erase(write);
   auto before = this->removed.find(content);
-  bool is_back = entry && before != this->removed.end() && entry->until_ms <= before->second;
-  if (is_back && this->pending.count(content) == 0) {
+  bool was_removed = entry && before != this->removed.end() && entry->until_ms <= before->second;
+  if (was_removed && this->pending.count(content) == 0) {
     this->ScheduleWriteByRole(content, "", /*is_witness=*/false, Now());
   }
-  return !is_back;
+  return !was_removed;
 }
 
 void QuarantineStore::ScheduleExpiredRemovals(Time now, int64_t unix_ms) {
   std::erase_if(this->removed, [&](const auto& entry) { return entry.second <= unix_ms; });
   for (const auto& [content, until_ms] : this->stored) {
-    bool is_over = until_ms <= unix_ms;
-    if (!is_over || this->pending.count(content) != 0) continue;
+    bool is_expired = until_ms <= unix_ms;
+    if (!is_expired || this->pending.count(content) != 0) continue;
     this->ScheduleWrite(content, "", Duration(0), kRemovalSpread, now);
   }
 }
--- a/src/gateway/quarantine_store.h
+++ b/src/gateway/quarantine_store.h
@@ -1,20 +1,20 @@
 // Keeps the quarantine in the store, for gateways that start later.
 //
-// What a gateway remembers ends with its process, and all processes may end at the same
-// moment.  So each content in quarantine has an entry in the topic by which gateways know each
-// other, which every gateway reads at its start and follows.  Nobody is appointed to write it:
-// each waits for a time of its own drawing and leaves it where the topic shows the entry by
-// then.  Those who saw an engine end under the content draw a short time, the others a long
-// one, in case no witness is left.  Entries that are over are removed in the same way.
+// A gateway's own records are lost when its process ends, and all processes may end at the same
+// time.  Therefore each quarantined request content has an entry in the peers' topic, which
+// every gateway reads when it starts and then follows.  Any gateway may write the entry: each
+// one waits for a random delay and writes only if the topic still lacks the entry.  Witnesses,
+// which saw an engine crash while it ran the content, draw a short delay.  The other gateways
+// draw a long one, in case no witness is left.  Expired entries are removed in the same way.
 //
-//   QuarantineStore kept(&loop, store, &recovery, seed);
-//   kept.Keep(content, entry, /*is_witness=*/true, now);
-//   kept.OnRecord(content, value);                 // the topic's word
-//   kept.Tick(now);                                // a few times a second
+//   QuarantineStore quarantine_store(&loop, store, &recovery, seed);
+//   quarantine_store.Keep(content, entry, /*is_witness=*/true, now);
+//   quarantine_store.OnRecord(content, entry);     // a record of the topic
+//   quarantine_store.Tick(now, unix_ms);           // a few times a second
 //
-// A write costs one call, and each gateway one read; there are as many as contents are put
-// into quarantine.  At most kMostKept entries are kept there; what is beyond stays with the
-// gateways that run, and is counted.
+// Each quarantined content costs one call to write its entry and one read per gateway.  The
+// topic holds at most kMaxEntries entries.  Further ones are counted and exist only in the
+// running gateways.
 
 #ifndef GULLWARD_GATEWAY_QUARANTINE_STORE_H_
 #define GULLWARD_GATEWAY_QUARANTINE_STORE_H_
@@ -32,15 +32,16 @@
 
 class QuarantineStore {
  public:
-  // Over which witnesses spread: the topic's news takes up to two seconds, so five witnesses
-  // write some two or three times, which does no harm.
+  // The delays of witnesses are drawn from this range.  An entry takes up to two seconds to reach
+  // the other gateways, so five witnesses write it two or three times, which is harmless.
   static constexpr Duration kWitnessSpread = seconds(2);
-  // The others wait for longer than any witness and its news can take, and spread over this.
+  // The other gateways wait longer than a witness and the propagation of its entry can take, and
+  // then for a delay from the second range.
   static constexpr Duration kNonWitnessDelay = seconds(6);
   static constexpr Duration kNonWitnessSpread = seconds(30);
-  // Over which the removal of an entry that is over is spread.
+  // The delays before the removal of an expired entry are drawn from this range.
   static constexpr Duration kRemovalSpread = seconds(60);
-  // 60 bytes each, which every gateway reads when it starts.
+  // An entry takes 60 bytes, and every gateway reads all entries when it starts.
   static constexpr size_t kMaxEntries = 256;
 
   QuarantineStore(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
@@ -49,28 +50,29 @@
         recovery(store_recovery),
         random(seed) {}
 
-  // Sees to it that the entry is there.
+  // Ensures that the topic has the entry.
   void Keep(ContentId content, const QuarantineEntry& entry, bool is_witness, Time now);
-  // Sees to it that it is not.
+  // Ensures that the topic has no entry for the content.
   void Remove(ContentId content, bool is_witness, Time now);
 
-  // What the topic says: an entry, or nothing where it was removed or cannot be read.  Whether
-  // it counts: not an entry that was removed before, which the store's return has brought back.
+  // Handles the topic's record: an entry, or nothing if it was removed or cannot be parsed.
+  // Returns false for an entry that was removed earlier and that the store's return has
+  // restored; the caller must ignore that entry.
   bool OnRecord(ContentId content, const std::optional<QuarantineEntry>& entry);
 
-  // The store has returned without what was written lately: nothing is known of it now.
+  // Handles the store's return from an older copy: the topic's content is unknown from now on.
   void OnStoreReturn() { this->stored.clear(); }
 
-  // Writes what is due.  `unix_ms` is the time of day.
+  // Sends a write that is due.  `unix_ms` is the time in Unix milliseconds.
   void Tick(Time now, int64_t unix_ms);
 
   uint64_t store_calls() const { return this->client.calls(); }
-  // Entries that were not kept for want of room.
+  // The number of entries that were not stored because the topic was full.
   uint64_t dropped_entries() const { return this->dropped_count; }
 
  private:
   struct PendingWrite {
-    // Empty: that there be none.
+    // The encoded entry, or empty to remove the entry.
     std::string value;
     Time due;
   };
@@ -84,10 +86,11 @@
   StoreClient client;
   StoreRecovery* recovery;
   std::mt19937_64 random;
-  // What the topic holds: until when, in Unix milliseconds.
+  // The entries of the topic, with the ends of their quarantines in Unix milliseconds.
   std::map<ContentId, int64_t> stored;
   std::map<ContentId, PendingWrite> pending;
-  // Entries that were removed, by their end in Unix milliseconds; at most kMostKept.
+  // Removed entries, with the ends of their quarantines in Unix milliseconds; at most
+  // kMaxEntries.
   std::map<ContentId, int64_t> removed;
   bool is_busy = false;
   uint64_t dropped_count = 0;
--- a/src/gateway/settings.cc
+++ b/src/gateway/settings.cc
@@ -1,4 +1,4 @@
-// deploy/gateway.toml shows a file with every key.
+// deploy/gateway.toml is an example file with all keys.
 
 #include "gateway/settings.h"
 
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr double kDaySeconds = 86400;
-constexpr double kMostQuarantineDays = 7;
+constexpr double kMaxQuarantineDays = 7;
 
-// "true" or empty: keys are vouched for within the bound only; "false": until the
-// configuration changes them.  A string, so that a template whose platform does
-// not state the bound still gives a valid file, and the strict meaning.
+// "true" or an empty value: keys are accepted only within the time limit.  "false": keys are
+// accepted until the configuration changes.  The setting is a string, so that a template whose
+// platform leaves the value empty still gives a valid file with the strict meaning.
 KeyTrust ReadKeyTrust(TomlReader& reader) {
   std::string strict = reader.String("strict_revoke", "true");
   if (strict == "false") return KeyTrust::kUntilChanged;
@@ -24,11 +24,11 @@
 }
 
 Mechanisms ReadMechanisms(TomlReader& reader) {
-  Mechanisms on;
-  for (const MechanismSwitch& one : kMechanismSwitches) {
-    on.*one.field = reader.Boolean(absl::StrCat("use_", one.name), true);
+  Mechanisms mechanisms;
+  for (const MechanismSwitch& mechanism : kMechanismSwitches) {
+    mechanisms.*mechanism.field = reader.Boolean(absl::StrCat("use_", mechanism.name), true);
   }
-  return on;
+  return mechanisms;
 }
 
 }  // namespace
@@ -52,7 +52,7 @@
   settings.retry.window = FromSeconds(reader.Number("retry_window_seconds", 10, 0.1, kDaySeconds));
   settings.stop_grace = FromSeconds(reader.Number("stop_grace_seconds", 8, 0, kDaySeconds));
   settings.quarantine =
-      FromSeconds(reader.Number("quarantine_seconds", 3600, 1, kMostQuarantineDays * kDaySeconds));
+      FromSeconds(reader.Number("quarantine_seconds", 3600, 1, kMaxQuarantineDays * kDaySeconds));
   settings.mechanisms = ReadMechanisms(reader);
   reader.Finish();
   return settings;
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -1,4 +1,4 @@
-// The gateway's settings file, read and checked.  docs/OPERATIONS.md lists the keys.
+// Reads and validates the gateway's settings file.  docs/OPERATIONS.md lists the keys.
 
 #ifndef GULLWARD_GATEWAY_SETTINGS_H_
 #define GULLWARD_GATEWAY_SETTINGS_H_
@@ -19,26 +19,26 @@
 struct GatewaySettings {
   std::string box;
   std::string data_centre;
-  // Where callers connect, where the balancer asks whether we are ready, where
-  // metrics and the state dump are read, and where peers send datagrams.
+  // The addresses for callers, for the balancer's readiness checks, for the metrics and the
+  // state dump, and for datagrams from peers.
   SocketAddress callers;
   SocketAddress ready;
   SocketAddress metrics;
   SocketAddress peers;
-  // The platform's store.
+  // The address of the platform's store.
   SocketAddress store;
-  // How long an API key may be vouched for after the configuration was read, and
-  // whether that bound holds at all.
+  // How long API keys are accepted after the configuration was last shown to be current, and
+  // whether this limit applies.
   Duration key_trust = seconds(5);
   KeyTrust key_trust_mode = KeyTrust::kBounded;
-  // How long after an engine's leaving was announced it may still get new work.
+  // How long an engine may still get new work after it was announced as leaving.
   Duration leaving_bound = seconds(2);
   RetryBounds retry;
-  // Each on unless the file switches it off: `use_` and the field's name.
+  // Each mechanism is on unless the file switches it off by the key `use_` and the field's name.
   Mechanisms mechanisms;
-  // How long requests that end engines are refused.
+  // How long a request content that crashes engines is refused.
   Duration quarantine = std::chrono::hours(1);
-  // From the stop signal to the kill.
+  // The time between the stop signal and the kill.
   Duration stop_grace = seconds(8);
 
   bool operator==(const GatewaySettings&) const = default;
--- a/src/gateway/settled_epoch_writer.cc
+++ b/src/gateway/settled_epoch_writer.cc
@@ -14,14 +14,14 @@
 void SettledEpochWriter::Tick(Time now) {
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   std::optional<uint64_t> current = epoch.current();
-  bool is_wanted = current && epoch.IsSettledFor(now) && this->stored_epoch != current;
-  if (!is_wanted) {
+  bool is_needed = current && epoch.IsSettledFor(now) && this->stored_epoch != current;
+  if (!is_needed) {
     this->due.reset();
     return;
   }
   if (!this->due) {
-    std::uniform_int_distribution<int64_t> draw(0, kWriteSpread.count());
-    this->due = now + Duration(draw(this->random));
+    std::uniform_int_distribution<int64_t> jitter(0, kWriteSpread.count());
+    this->due = now + Duration(jitter(this->random));
   }
   if (now >= *this->due && !this->is_busy) this->Write(*current);
 }
@@ -37,7 +37,8 @@
                       }
                       this->is_busy = false;
                       this->recovery->OnCallSucceeded();
-                      // One written after the next return is wrong, and is written anew.
+                      // An entry that reached the store after its next return is outdated, and
+                      // is written again.
                       if (answer.epoch == epoch) this->stored_epoch = epoch;
                     });
 }
--- a/src/gateway/settled_epoch_writer.h
+++ b/src/gateway/settled_epoch_writer.h
@@ -1,13 +1,13 @@
-// Sees to it that the store says which of its epochs is settled (serving/epoch_mark.h).
+// Writes to the store which of its epochs is settled (serving/epoch_mark.h).
 //
-// A gateway that starts cannot know whether the store has just come back from an older copy,
-// and waits before it vouches for anything.  With the mark of the present epoch it need not.
-// Nobody is appointed to write it: each gateway that has seen the epoch for long enough draws
-// a time, and leaves it where the mark is there by then.
+// A starting gateway cannot tell whether the store has just returned from an older copy, so it
+// waits before it accepts keys.  An entry that names the current epoch as settled makes this
+// wait unnecessary.  Any gateway may write the entry: each one that has observed the epoch for
+// long enough waits for a random delay, and writes only if the entry is still missing.
 //
-//   EpochMarker marker(&loop, store, &recovery, seed);
-//   marker.OnRecord(value);                        // the topic's word
-//   marker.Tick(now);                              // a few times a second
+//   SettledEpochWriter writer(&loop, store, &recovery, seed);
+//   writer.OnRecord(value);                        // a record of the topic
+//   writer.Tick(now);                              // a few times a second
 
 #ifndef GULLWARD_GATEWAY_SETTLED_EPOCH_WRITER_H_
 #define GULLWARD_GATEWAY_SETTLED_EPOCH_WRITER_H_
@@ -23,8 +23,8 @@
 
 class SettledEpochWriter {
  public:
-  // Over which gateways spread.  The topic's news takes two seconds, so of 300 gateways some
-  // twenty write, and one or two of thirty.
+  // The random delays are drawn from this range.  An entry takes two seconds to reach the other
+  // gateways, so about twenty of 300 gateways write it, and one or two of thirty.
   static constexpr Duration kWriteSpread = seconds(30);
 
   SettledEpochWriter(EventLoop* event_loop, SocketAddress store, StoreRecovery* store_recovery,
@@ -33,10 +33,10 @@
         recovery(store_recovery),
         random(seed) {}
 
-  // What the topic says: a mark, or nothing that can be read.
+  // Handles the topic's record.  A value that cannot be parsed counts as a missing entry.
   void OnRecord(const std::string& value);
 
-  // Writes the mark when that is due.
+  // Writes the entry if that is due.
   void Tick(Time now);
 
   uint64_t store_calls() const { return this->client.calls(); }
@@ -47,9 +47,9 @@
   StoreClient client;
   StoreRecovery* recovery;
   std::mt19937_64 random;
-  // The epoch that the topic's mark names.
+  // The epoch that the topic's entry names.
   std::optional<uint64_t> stored_epoch;
-  // Set while we would write.
+  // When this gateway writes the entry; set while the entry is missing.
   std::optional<Time> due;
   bool is_busy = false;
 };
