--- a/src/gateway/testing/store_return_test.cc
+++ b/src/gateway/testing/store_return_test.cc
@@ -1,9 +1,9 @@
-// The platform's store comes back from a copy that is some seconds old.
+// Tests the return of the platform's store from a copy that is some seconds old.
 //
-// What it had acknowledged since is gone, and its offsets are given out again.  The operator
-// and the engines write theirs once more, the gateways theirs.  Each answer tells the epoch
-// that it belongs to.  The tests bring about every moment of such a return that a gateway can
-// be in: reading pages, waiting at the tail, proving, starting, cut off.
+// All writes that the store acknowledged since that copy are lost, and their offsets are used
+// again.  The operator, the engines and the gateways write their records again.  Each answer
+// states the store's epoch.  The tests cover a return while a gateway reads pages, waits at the
+// log's tail, revalidates, starts, or has no connection to the store.
 
 #define BOOST_TEST_MODULE store_return
 #include <unistd.h>
@@ -31,19 +31,19 @@
 constexpr char kOwnTopic[] = "keyed.gullward-entries";
 constexpr char kListCopy[] = "keyed.gullward-engines";
 
-// A follower beside a store, on one loop, with what it has been told.
-struct FollowedStore {
-  FollowedStore()
+// A follower and a store on one event loop, with the records that the follower has delivered.
+struct FollowerFixture {
+  FollowerFixture()
       : store(&loop),
         recovery(&loop),
         follower(&loop, store.address(), &recovery, {kTopic, seconds(10), Duration(0)},
                  {.replace =
-                      [this](const auto& records) {
-                        this->told.clear();
-                        for (const platform::KeyedRecord& record : records) this->Take(record);
+                      [this](const auto& newest) {
+                        this->records.clear();
+                        for (const platform::KeyedRecord& record : newest) this->Apply(record);
                       },
-                  .change = [this](const platform::KeyedRecord& record) { this->Take(record); },
-                  .up_to_date = [this](Time) { this->proofs += 1; },
+                  .change = [this](const platform::KeyedRecord& record) { this->Apply(record); },
+                  .up_to_date = [this](Time) { this->validations += 1; },
                   .lost = {},
                   .regained = {},
                   .read_short = {},
@@ -52,19 +52,19 @@
     this->store.SetEpoch("1");
   }
 
-  void Take(const platform::KeyedRecord& record) {
+  void Apply(const platform::KeyedRecord& record) {
     if (record.value.empty()) {
-      this->told.erase(record.key);
+      this->records.erase(record.key);
     } else {
-      this->told[record.key] = record.value;
+      this->records[record.key] = record.value;
     }
   }
   void Put(const std::string& key, const std::string& value) {
     this->store.Put(kTopic, key, value);
   }
   bool RunUntil(const std::function<bool()>& condition) {
-    Time until = Now() + seconds(10);
-    while (!condition() && Now() < until) this->loop.RunOnce(milliseconds(5));
+    Time deadline = Now() + seconds(10);
+    while (!condition() && Now() < deadline) this->loop.RunOnce(milliseconds(5));
     return condition();
   }
 
@@ -72,65 +72,65 @@
   StoreStandin store;
   StoreRecovery recovery;
   TopicFollower follower;
-  std::map<std::string, std::string> told;
-  int proofs = 0;
+  std::map<std::string, std::string> records;
+  int validations = 0;
 };
 
 using Records = std::map<std::string, std::string>;
 
-// A gateway that was cut off while the store came back asks later for an offset that has been
-// given out anew: whatever was written below it, it has not seen.
+// A gateway without a connection during the return later reads from an offset that has been used
+// again.  It must also read the records written again below that offset.
 BOOST_AUTO_TEST_CASE(AFollowerThatWasCutOffReadsWhatWasWrittenBelowItsPlace) {
   struct Row {
     int written_again;
     const char* epoch;
   };
-  // Fewer records than were lost, as many, more; the epoch may have risen more than once.
+  // Fewer records than were lost, as many, and more.  The epoch may have risen more than once.
   const Row table[] = {{1, "2"}, {3, "2"}, {7, "2"}, {3, "4"}};
   for (const Row& row : table) {
-    FollowedStore world;
-    world.Put("kept", "before");
-    world.store.SaveCopy();
-    for (int i = 0; i < 3; ++i) world.Put("lost", absl::StrCat("lost-", i));
-    world.follower.Start();
-    BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.told.count("lost") != 0; }));
-    BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.store.IsAwaited(kTopic); }));
-    world.store.SetTrouble(StoreTrouble::kReset);
-    world.store.DropConnections();
-    world.store.ReturnFromCopy(row.epoch);
+    FollowerFixture fixture;
+    fixture.Put("kept", "before");
+    fixture.store.SaveCopy();
+    for (int i = 0; i < 3; ++i) fixture.Put("lost", absl::StrCat("lost-", i));
+    fixture.follower.Start();
+    BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.records.count("lost") != 0; }));
+    BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.store.IsAwaited(kTopic); }));
+    fixture.store.SetTrouble(StoreTrouble::kReset);
+    fixture.store.DropConnections();
+    fixture.store.ReturnFromCopy(row.epoch);
     Records expected = {{"kept", "before"}};
     for (int i = 0; i < row.written_again; ++i) {
       std::string key = absl::StrCat("again-", i);
-      world.Put(key, "after");
+      fixture.Put(key, "after");
       expected[key] = "after";
     }
-    world.store.SetTrouble(StoreTrouble::kNone);
-    BOOST_TEST(world.RunUntil([&] { return world.told == expected; }),
+    fixture.store.SetTrouble(StoreTrouble::kNone);
+    BOOST_TEST(fixture.RunUntil([&] { return fixture.records == expected; }),
                "written again: " << row.written_again);
   }
 }
 
-// A page of before the return and one of after it are no list.
+// Pages from before and after the return must not be combined into one list.
 BOOST_AUTO_TEST_CASE(PagesOfTwoEpochsAreNotPutTogether) {
-  FollowedStore world;
-  world.store.SetPageSize(1);
-  world.Put("b", "1");
-  world.store.SaveCopy();
-  world.Put("a", "lost");
-  world.store.HoldNextAnswer(kTopic);
-  world.follower.Start();
-  BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.store.IsHolding(); }));
-  world.store.ReturnFromCopy("2");
-  world.Put("c", "2");
-  world.store.LetGo();
+  FollowerFixture fixture;
+  fixture.store.SetPageSize(1);
+  fixture.Put("b", "1");
+  fixture.store.SaveCopy();
+  fixture.Put("a", "lost");
+  fixture.store.HoldNextAnswer(kTopic);
+  fixture.follower.Start();
+  BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.store.IsHolding(); }));
+  fixture.store.ReturnFromCopy("2");
+  fixture.Put("c", "2");
+  fixture.store.LetGo();
   Records expected = {{"b", "1"}, {"c", "2"}};
-  BOOST_TEST(world.RunUntil([&] { return world.told == expected; }));
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.records == expected; }));
 }
 
-// Versions of the world's configuration: each has a route of its own, and the second key only
-// where it has not been taken away.
-json Version(const GatewayWorld& world, int version, bool with_second_key = true) {
-  json config = world.DefaultConfig();
+// A version of the fixture's configuration: it has one more route for the version, and the
+// second key only if that has not been removed.
+json Version(const GatewayWorld& fixture, int version, bool with_second_key = true) {
+  json config = fixture.DefaultConfig();
   config["version"] = version;
   json route = config["routes"][1];
   route["pathPrefix"] = absl::StrCat("/version/", version, "/");
@@ -140,178 +140,180 @@
   return config;
 }
 
-std::string RequestFor(const GatewayWorld& world, int version) {
-  std::string request = world.SafeRequest(absl::StrCat("to-", version));
+std::string RequestFor(const GatewayWorld& fixture, int version) {
+  std::string request = fixture.SafeRequest(absl::StrCat("to-", version));
   const std::string old_path = "/app/look/x";
   request.replace(request.find(old_path), old_path.size(), absl::StrCat("/version/", version, "/"));
   return request;
 }
 
-bool IsServed(GatewayWorld* world, const std::string& request, size_t gateway = 0) {
-  return world->Call(request, gateway).head.status == 200;
+bool IsServed(GatewayWorld* fixture, const std::string& request, size_t gateway = 0) {
+  return fixture->Call(request, gateway).head.status == 200;
 }
 
-// Whoever says that its keys are current has the newest version, though as many records stand
-// in the topic again as it had read.
+// A gateway that regards its keys as current has the newest version, even if the topic again has
+// as many records as the gateway had read.
 BOOST_AUTO_TEST_CASE(NoProofByAnOffsetThatWasGivenOutAgain) {
   WorldOptions options;
   options.key_trust = milliseconds(600);
-  GatewayWorld world(options);
-  world.store.SetEpoch("1");
-  world.Publish(Version(world, 1));
-  world.store.SaveCopy();
-  world.Publish(Version(world, 2));
-  world.Publish(Version(world, 2));
-  world.StartGateway();
-  BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2)); }));
-  world.store.SetTrouble(StoreTrouble::kReset);
-  BOOST_TEST_REQUIRE(world.RunUntil([&] { return !world.gateway->IsReady(); }));
-  world.store.DropConnections();
-  world.store.ReturnFromCopy("2");
-  world.Publish(Version(world, 2));
-  world.Publish(Version(world, 3, /*with_second_key=*/false));
-  world.store.SetTrouble(StoreTrouble::kNone);
-  BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.gateway->IsReady(); }));
-  BOOST_TEST(IsServed(&world, RequestFor(world, 3)));
-  BOOST_TEST(world.Call(world.OnceRequest("taken-away")).head.status == 401);
+  GatewayWorld fixture(options);
+  fixture.store.SetEpoch("1");
+  fixture.Publish(Version(fixture, 1));
+  fixture.store.SaveCopy();
+  fixture.Publish(Version(fixture, 2));
+  fixture.Publish(Version(fixture, 2));
+  fixture.StartGateway();
+  BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2)); }));
+  fixture.store.SetTrouble(StoreTrouble::kReset);
+  BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return !fixture.gateway->IsReady(); }));
+  fixture.store.DropConnections();
+  fixture.store.ReturnFromCopy("2");
+  fixture.Publish(Version(fixture, 2));
+  fixture.Publish(Version(fixture, 3, /*with_second_key=*/false));
+  fixture.store.SetTrouble(StoreTrouble::kNone);
+  BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.gateway->IsReady(); }));
+  BOOST_TEST(IsServed(&fixture, RequestFor(fixture, 3)));
+  BOOST_TEST(fixture.Call(fixture.OnceRequest("taken-away")).head.status == 401);
 }
 
-// A version that was in force stays in force while the store has an older one, and what it
-// allows is served on.
+// A version that was in force stays in force while the store has an older one, and requests that
+// it allows are still served.
 BOOST_AUTO_TEST_CASE(NothingGoesBack) {
-  GatewayWorld world({});
-  world.store.SetEpoch("1");
-  world.Publish(Version(world, 1));
-  world.store.SaveCopy();
-  world.Publish(Version(world, 2, /*with_second_key=*/false));
-  world.StartGateway();
-  BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2)); }));
-  world.store.ReturnFromCopy("2");
-  Time until = Now() + seconds(3);
-  while (Now() < until) {
-    Reply taken_away = world.Call(world.OnceRequest("taken-away"));
-    BOOST_TEST_REQUIRE((taken_away.head.status == 401 || taken_away.head.status == 503));
-    Reply dropped = world.Call(RequestFor(world, 1));
-    BOOST_TEST_REQUIRE((dropped.head.status == 404 || dropped.head.status == 503));
-    world.RunUntil([next = Now() + milliseconds(50)] { return Now() >= next; });
+  GatewayWorld fixture({});
+  fixture.store.SetEpoch("1");
+  fixture.Publish(Version(fixture, 1));
+  fixture.store.SaveCopy();
+  fixture.Publish(Version(fixture, 2, /*with_second_key=*/false));
+  fixture.StartGateway();
+  BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2)); }));
+  fixture.store.ReturnFromCopy("2");
+  Time deadline = Now() + seconds(3);
+  while (Now() < deadline) {
+    Reply removed_key = fixture.Call(fixture.OnceRequest("taken-away"));
+    BOOST_TEST_REQUIRE((removed_key.head.status == 401 || removed_key.head.status == 503));
+    Reply removed_route = fixture.Call(RequestFor(fixture, 1));
+    BOOST_TEST_REQUIRE((removed_route.head.status == 404 || removed_route.head.status == 503));
+    fixture.RunUntil([pause_end = Now() + milliseconds(50)] { return Now() >= pause_end; });
   }
-  world.Publish(Version(world, 2, /*with_second_key=*/false));
-  BOOST_TEST(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2)); }));
+  fixture.Publish(Version(fixture, 2, /*with_second_key=*/false));
+  BOOST_TEST(fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2)); }));
 }
 
-// A gateway that starts before the operator has written again reads the older copy as the
-// newest.  It must not vouch for a key that had been taken away, nor deny what it does not
-// find there.
+// A gateway that starts before the operator has written again reads the older copy as the newest
+// version.  It must neither accept a key that had been removed nor deny a route that is missing.
 BOOST_AUTO_TEST_CASE(WhoStartsInTheGapDoesNotVouchForTheOlderCopy) {
-  // With what a peer hands on, the newer version is in force before the store has it again;
-  // without, nothing is known of it.
+  // With the configuration from peers, the newer version is in force before the store has it
+  // again.  Without it, the gateway has no information about that version.
   for (bool from_peers : {false, true}) {
     WorldOptions options;
     options.mechanisms.config_from_peers = from_peers;
-    GatewayWorld world(options);
-    world.store.SetEpoch("1");
-    world.Publish(Version(world, 1));
-    world.store.SaveCopy();
-    world.Publish(Version(world, 2, /*with_second_key=*/false));
-    world.StartGateway();
-    BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2)); }));
-    world.store.ReturnFromCopy("2");
-    world.AddGatewayUnready();
-    Time until = Now() + seconds(3);
-    while (Now() < until) {
-      int taken_away = world.Call(world.OnceRequest("taken-away"), 1).head.status;
-      BOOST_TEST_REQUIRE((taken_away == 503 || (from_peers && taken_away == 401)));
-      int newer = world.Call(RequestFor(world, 2), 1).head.status;
-      BOOST_TEST_REQUIRE((newer == 503 || (from_peers && newer == 200)));
-      world.RunUntil([next = Now() + milliseconds(50)] { return Now() >= next; });
+    GatewayWorld fixture(options);
+    fixture.store.SetEpoch("1");
+    fixture.Publish(Version(fixture, 1));
+    fixture.store.SaveCopy();
+    fixture.Publish(Version(fixture, 2, /*with_second_key=*/false));
+    fixture.StartGateway();
+    BOOST_TEST_REQUIRE(
+        fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2)); }));
+    fixture.store.ReturnFromCopy("2");
+    fixture.AddGatewayUnready();
+    Time deadline = Now() + seconds(3);
+    while (Now() < deadline) {
+      int removed_key = fixture.Call(fixture.OnceRequest("taken-away"), 1).head.status;
+      BOOST_TEST_REQUIRE((removed_key == 503 || (from_peers && removed_key == 401)));
+      int newer_route = fixture.Call(RequestFor(fixture, 2), 1).head.status;
+      BOOST_TEST_REQUIRE((newer_route == 503 || (from_peers && newer_route == 200)));
+      fixture.RunUntil([pause_end = Now() + milliseconds(50)] { return Now() >= pause_end; });
     }
-    world.Publish(Version(world, 2, /*with_second_key=*/false));
-    BOOST_TEST(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2), 1); }));
-    BOOST_TEST(world.Call(world.OnceRequest("now"), 1).head.status == 401);
+    fixture.Publish(Version(fixture, 2, /*with_second_key=*/false));
+    BOOST_TEST(fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2), 1); }));
+    BOOST_TEST(fixture.Call(fixture.OnceRequest("now"), 1).head.status == 401);
   }
 }
 
-size_t RunsAt(const EngineStandin& engine) { return engine.seen().size(); }
+size_t RunCount(const EngineStandin& engine) { return engine.seen().size(); }
 
-// That an engine leaves has been acknowledged to us: an older copy in which it is ready, or
-// listed again, does not undo it.
+// A gateway has read that an engine is leaving.  An older copy in which the engine is ready or
+// listed again does not undo this.
 BOOST_AUTO_TEST_CASE(AnEngineThatIsKnownToLeaveGetsNothingByAnOlderCopy) {
-  for (bool says_so : {true, false}) {
+  for (bool announces : {true, false}) {
     WorldOptions options;
     options.engines = 1;
-    GatewayWorld world(options);
-    world.store.SetEpoch("1");
-    world.Publish(world.DefaultConfig());
-    world.store.SaveCopy();
-    world.StartGateway();
-    EngineStandin& leaving = *world.engines[0];
-    if (says_so) {
-      world.ListEngine(leaving, "models", /*draining=*/true);
+    GatewayWorld fixture(options);
+    fixture.store.SetEpoch("1");
+    fixture.Publish(fixture.DefaultConfig());
+    fixture.store.SaveCopy();
+    fixture.StartGateway();
+    EngineStandin& leaving = *fixture.engines[0];
+    if (announces) {
+      fixture.ListEngine(leaving, "models", /*draining=*/true);
     } else {
-      world.store.Remove(kEngines, leaving.id());
+      fixture.store.Remove(kEngines, leaving.id());
     }
-    BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.gateway->UsableEngines() == 2; }));
-    world.store.DropConnections();
-    world.store.ReturnFromCopy("2");
-    size_t before = RunsAt(leaving);
-    Time until = Now() + seconds(2);
-    for (int i = 0; Now() < until; ++i) world.Call(world.StreamRequest(absl::StrCat("s", i)));
-    BOOST_TEST(RunsAt(leaving) == before);
+    BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.gateway->UsableEngines() == 2; }));
+    fixture.store.DropConnections();
+    fixture.store.ReturnFromCopy("2");
+    size_t before = RunCount(leaving);
+    Time deadline = Now() + seconds(2);
+    for (int i = 0; Now() < deadline; ++i)
+      fixture.Call(fixture.StreamRequest(absl::StrCat("s", i)));
+    BOOST_TEST(RunCount(leaving) == before);
   }
 }
 
-// An engine that came in the seconds that the store has lost works on.
+// An engine that was listed in the lost seconds still gets work.
 BOOST_AUTO_TEST_CASE(AnEngineThatTheCopyLacksIsNotGone) {
   WorldOptions options;
   options.engines = 1;
-  GatewayWorld world(options);
-  world.store.SetEpoch("1");
-  world.Publish(world.DefaultConfig());
-  EngineStandin& newcomer = *world.engines[0];
-  world.store.Remove(kEngines, newcomer.id());
-  world.store.SaveCopy();
-  world.ListEngine(newcomer, "models");
-  world.StartGateway();
-  BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, world.StreamRequest("s")); }));
-  world.store.DropConnections();
-  world.store.ReturnFromCopy("2");
+  GatewayWorld fixture(options);
+  fixture.store.SetEpoch("1");
+  fixture.Publish(fixture.DefaultConfig());
+  EngineStandin& newcomer = *fixture.engines[0];
+  fixture.store.Remove(kEngines, newcomer.id());
+  fixture.store.SaveCopy();
+  fixture.ListEngine(newcomer, "models");
+  fixture.StartGateway();
+  BOOST_TEST_REQUIRE(
+      fixture.RunUntil([&] { return IsServed(&fixture, fixture.StreamRequest("s")); }));
+  fixture.store.DropConnections();
+  fixture.store.ReturnFromCopy("2");
   Time written_again = Now() + milliseconds(1800);
   while (Now() < written_again) {
-    BOOST_TEST_REQUIRE(IsServed(&world, world.StreamRequest("s")));
+    BOOST_TEST_REQUIRE(IsServed(&fixture, fixture.StreamRequest("s")));
   }
-  world.ListEngine(newcomer, "models");
-  Time until = Now() + seconds(3);
-  while (Now() < until) BOOST_TEST_REQUIRE(IsServed(&world, world.StreamRequest("s")));
+  fixture.ListEngine(newcomer, "models");
+  Time deadline = Now() + seconds(3);
+  while (Now() < deadline) BOOST_TEST_REQUIRE(IsServed(&fixture, fixture.StreamRequest("s")));
 }
 
-// What gateways wrote in the lost seconds they write again, each its own and once.
+// Each gateway writes its own entries of the lost seconds again, exactly once.
 BOOST_AUTO_TEST_CASE(GatewaysWriteTheirOwnEntriesAgainOnce) {
   WorldOptions options;
   options.key_trust = milliseconds(600);
-  GatewayWorld world(options);
-  world.store.SetEpoch("1");
-  world.Publish(world.DefaultConfig());
-  world.store.SaveCopy();
-  world.StartGateway();
-  world.AddGateway();
+  GatewayWorld fixture(options);
+  fixture.store.SetEpoch("1");
+  fixture.Publish(fixture.DefaultConfig());
+  fixture.store.SaveCopy();
+  fixture.StartGateway();
+  fixture.AddGateway();
   auto both_are_there = [&] {
-    return !world.store.Newest(kOwnTopic, "box-1").empty() &&
-           !world.store.Newest(kOwnTopic, "box-2").empty();
+    return !fixture.store.Newest(kOwnTopic, "box-1").empty() &&
+           !fixture.store.Newest(kOwnTopic, "box-2").empty();
   };
-  BOOST_TEST_REQUIRE(world.RunUntil(both_are_there));
+  BOOST_TEST_REQUIRE(fixture.RunUntil(both_are_there));
   BOOST_TEST_REQUIRE(
-      world.RunUntil([&] { return !world.store.Newest(kListCopy, "part-0").empty(); }));
-  world.store.ReturnFromCopy("2");
-  BOOST_TEST(world.RunUntil(both_are_there));
-  BOOST_TEST(world.RunUntil([&] { return !world.store.Newest(kListCopy, "part-0").empty(); }));
-  // Two entries, and what says that the epoch has been seen.
-  world.RunUntil([until = Now() + seconds(8)] { return Now() >= until; });
-  BOOST_TEST(world.store.appended(kOwnTopic) <= 4);
+      fixture.RunUntil([&] { return !fixture.store.Newest(kListCopy, "part-0").empty(); }));
+  fixture.store.ReturnFromCopy("2");
+  BOOST_TEST(fixture.RunUntil(both_are_there));
+  BOOST_TEST(fixture.RunUntil([&] { return !fixture.store.Newest(kListCopy, "part-0").empty(); }));
+  // The entries of both gateways, and the entries that name the settled epoch.
+  fixture.RunUntil([deadline = Now() + seconds(8)] { return Now() >= deadline; });
+  BOOST_TEST(fixture.store.appended(kOwnTopic) <= 4);
 }
 
-// A gateway's watch over contents in quarantine, beside a store that has lost their entries.
-struct WatchedStore {
-  WatchedStore() : store(&loop), recovery(&loop), log(STDOUT_FILENO) {
+// A gateway's crash watch and a store that has lost the quarantine entries.
+struct CrashWatchFixture {
+  CrashWatchFixture() : store(&loop), recovery(&loop), log(STDOUT_FILENO) {
     CrashWatch::Options options;
     options.box = "box-1";
     options.store = this->store.address();
@@ -321,7 +323,7 @@
         std::make_unique<CrashWatch>(&this->loop, options, &this->recovery, &this->log, hooks);
   }
 
-  // An entry of the topic that lasts for an hour.
+  // A quarantine entry that lasts for an hour.
   static std::string Entry() {
     QuarantineEntry entry;
     auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
@@ -340,33 +342,34 @@
 constexpr ContentId kContent = 7;
 
 BOOST_AUTO_TEST_CASE(WhatIsInQuarantineIsWrittenAgain) {
-  WatchedStore world;
+  CrashWatchFixture fixture;
   Time now = Now();
-  world.watch->OnRecord(kContent, WatchedStore::Entry(), now);
-  BOOST_TEST(world.watch->RefusedFor(kContent, now).has_value());
-  world.watch->OnStoreReturn(now);
-  Time all_drawn = now + QuarantineStore::kNonWitnessDelay + QuarantineStore::kNonWitnessSpread;
-  world.watch->TickSlowly(all_drawn + seconds(1));
-  Time until = Now() + kTestPatience;
-  while (world.store.appended(kOwnTopic) == 0 && Now() < until) {
-    world.loop.RunOnce(milliseconds(5));
+  fixture.watch->OnRecord(kContent, CrashWatchFixture::Entry(), now);
+  BOOST_TEST(fixture.watch->RefusedFor(kContent, now).has_value());
+  fixture.watch->OnStoreReturn(now);
+  Time last_write_due =
+      now + QuarantineStore::kNonWitnessDelay + QuarantineStore::kNonWitnessSpread;
+  fixture.watch->TickSlowly(last_write_due + seconds(1));
+  Time deadline = Now() + kTestPatience;
+  while (fixture.store.appended(kOwnTopic) == 0 && Now() < deadline) {
+    fixture.loop.RunOnce(milliseconds(5));
   }
-  BOOST_TEST(!world.store.Newest(kOwnTopic, QuarantineKey(kContent)).empty());
-  // The topic shows it: nothing more is written.
-  world.watch->TickSlowly(all_drawn + seconds(2));
-  BOOST_TEST(world.store.appended(kOwnTopic) == 1u);
+  BOOST_TEST(!fixture.store.Newest(kOwnTopic, QuarantineKey(kContent)).empty());
+  // Once the topic has the entry, nothing more is written.
+  fixture.watch->TickSlowly(last_write_due + seconds(2));
+  BOOST_TEST(fixture.store.appended(kOwnTopic) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(AQuarantineThatWasLiftedDoesNotReturn) {
-  WatchedStore world;
-  const std::string entry = WatchedStore::Entry();
+  CrashWatchFixture fixture;
+  const std::string entry = CrashWatchFixture::Entry();
   Time now = Now();
-  world.watch->OnRecord(kContent, entry, now);
-  world.watch->NoteAnswered(kContent, now);
+  fixture.watch->OnRecord(kContent, entry, now);
+  fixture.watch->NoteAnswered(kContent, now);
   Time after_return = now + 2 * Quarantine::kClearedFor;
-  world.watch->OnStoreReturn(after_return);
-  world.watch->OnRecord(kContent, entry, after_return);
-  BOOST_TEST(!world.watch->RefusedFor(kContent, after_return).has_value());
+  fixture.watch->OnStoreReturn(after_return);
+  fixture.watch->OnRecord(kContent, entry, after_return);
+  BOOST_TEST(!fixture.watch->RefusedFor(kContent, after_return).has_value());
 }
 
 }  // namespace
--- a/src/gateway/testing/suspension_test.cc
+++ b/src/gateway/testing/suspension_test.cc
@@ -1,16 +1,11 @@
-// A gateway whose machine was suspended knows that the time has passed.
+// Tests that a gateway accounts for the time during which its machine was suspended.
 //
-// What was seen: nothing yet; the users' pages say that a machine may be suspended for
-// seconds, and that the steady clock does not count them.
+// The users' machines may be suspended for seconds, which the monotonic clock does not count.
+// Keys may be accepted for five seconds after the configuration was last shown to be current.
+// If ages were measured by the monotonic clock, then after a suspension of eight seconds a
+// gateway would still accept keys that were removed in the meantime.
 //
-// How it would come about: keys may be relied on for five seconds after the configuration was
-// proved current.  A machine sleeps for eight, wakes, and by the steady clock a moment has
-// passed: keys that were taken away meanwhile are accepted.
-//
-// The cause: every age was measured by the steady clock, which stands still in a suspension.
-//
-// What proved it: the cases below, in which the kernel's clocks are answered by this program:
-// all but the steady one go on by eight seconds.
+// The tests replace clock_gettime: all clocks but the monotonic ones advance by eight seconds.
 
 #define BOOST_TEST_MODULE suspension
 #include <sys/syscall.h>
@@ -29,14 +24,14 @@
 
 }  // namespace
 
-// Takes the place of the C library's: the steady clock does not count a suspension, all
-// others do.
+// Replaces the C library's function.  The monotonic clocks do not count a suspension; all other
+// clocks do, except those of CPU time.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept {
   long failed = syscall(SYS_clock_gettime, clock, time);
-  bool steady =
+  bool is_steady =
       clock == CLOCK_MONOTONIC || clock == CLOCK_MONOTONIC_RAW || clock == CLOCK_MONOTONIC_COARSE;
-  bool of_processor = clock == CLOCK_PROCESS_CPUTIME_ID || clock == CLOCK_THREAD_CPUTIME_ID;
-  if (failed == 0 && !steady && !of_processor) time->tv_sec += suspended_seconds.load();
+  bool is_cpu_time = clock == CLOCK_PROCESS_CPUTIME_ID || clock == CLOCK_THREAD_CPUTIME_ID;
+  if (failed == 0 && !is_steady && !is_cpu_time) time->tv_sec += suspended_seconds.load();
   return static_cast<int>(failed);
 }
 
@@ -52,16 +47,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(KeysAreNotReliedOnAfterASuspension) {
-  GatewayWorld world({.engines = 1, .apps = 1});
-  world.Publish(world.DefaultConfig());
-  world.StartGateway();
-  BOOST_TEST(world.Call(world.SafeRequest("before")).head.status == 200);
+  GatewayWorld fixture({.engines = 1, .apps = 1});
+  fixture.Publish(fixture.DefaultConfig());
+  fixture.StartGateway();
+  BOOST_TEST(fixture.Call(fixture.SafeRequest("before")).head.status == 200);
   suspended_seconds += kSuspendedSeconds;
-  // Before the store can have proved anything anew.
-  BOOST_TEST(!world.gateway->IsReady());
-  // It is proved anew, and all is well again.
-  BOOST_TEST(world.RunUntil([&] { return world.gateway->IsReady(); }));
-  BOOST_TEST(world.Call(world.SafeRequest("after")).head.status == 200);
+  // Checked before the configuration can have been revalidated.
+  BOOST_TEST(!fixture.gateway->IsReady());
+  // After the revalidation the gateway is ready again.
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.gateway->IsReady(); }));
+  BOOST_TEST(fixture.Call(fixture.SafeRequest("after")).head.status == 200);
 }
 
 }  // namespace
