--- a/src/gateway/engine_list_copy.h
+++ b/src/gateway/engine_list_copy.h
@@ -1,7 +1,7 @@
 // Keeps a copy of the engine list in a topic that the gateways write.
 //
 // The platform's store may refuse reads of one topic and serve another.  A gateway that starts
-// at that time knows the configuration but no engines, and would refuse every request until the
+// at that time has the configuration but no engines, and would refuse every request until the
 // list can be read.  Therefore the gateways store the list a second time
 // (serving/copy_schedule.h decides which gateway writes, and when), and a starting gateway uses
 // the copy until it has read the list.
@@ -60,7 +60,7 @@
   // Handles the store's return from an older copy: the list is written again.
   void OnStoreReturn() { this->schedule.NoteLost(this->recovery->returns().epoch().settled_at()); }
   // Handles a peer's report of the version of the copy.
-  void OnPeerCopy(const CopyMark& mark, Time now) { this->schedule.NoteCopy(mark, now); }
+  void OnPeerCopy(const CopyMark& version, Time now) { this->schedule.NoteCopy(version, now); }
   // The version of the copy to report to peers.
   const CopyMark& copied() const { return this->schedule.copy(); }
   // Sets the number of gateways that report the version of the copy to each other.
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -43,10 +43,14 @@
   GatewayServer(EventLoop* event_loop, const GatewaySettings& gateway_settings,
                 uint64_t random_seed);
 
+  // Listens for callers, operators and peers, and starts to read the store.  Returns an error if
+  // a socket cannot be opened.  Only the socket that serves the configuration to peers may fail:
+  // that is logged.
   absl::Status Start();
 
-  // Stops accepting work, finishes the requests in progress and then stops the loop.  Requests
-  // that outlast the stop grace of the settings are abandoned.
+  // Reports this gateway as not ready, but serves new callers until the balancer has reacted.
+  // Finishes the requests in progress and then stops the loop.  Requests that outlast the stop
+  // grace of the settings are abandoned.
   void DrainAndStop();
 
   // Whether the load balancer may send callers to this gateway.
--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -39,13 +39,13 @@
   LoadExchange::Hooks hooks;
   hooks.config_version = [this] { return this->ConfigVersion(); };
   hooks.validated_at = [this] { return this->state.keys.confirmed_at(); };
-  hooks.on_validated = [this](Time proved) { this->state.keys.Confirm(proved); };
+  hooks.on_validated = [this](Time validated_at) { this->state.keys.Confirm(validated_at); };
   hooks.on_newer_version = [this](uint64_t version, const Peer& peer) {
     this->OnNewerVersion(version, peer);
   };
   hooks.engines_copied = [this] { return this->engine_list_copy.copied(); };
-  hooks.on_engines_copied = [this](const CopyMark& mark) {
-    this->engine_list_copy.OnPeerCopy(mark, Now());
+  hooks.on_engines_copied = [this](const CopyMark& copy_version) {
+    this->engine_list_copy.OnPeerCopy(copy_version, Now());
   };
   hooks.on_store_epoch = [this](uint64_t epoch, bool is_settled) {
     this->OnPeerEpoch(epoch, is_settled);
@@ -56,8 +56,8 @@
   hooks.engines_read_to = [this] { return this->engine_follower.position().value_or(0); };
   hooks.on_engines_read_to = [this](uint64_t offset) { this->OnPeerEngineListPosition(offset); };
   hooks.take_gossip = [this] { return this->crash_watch.TakeNews(); };
-  hooks.on_gossip = [this](const std::string& box, const CrashNews& news) {
-    return this->crash_watch.Hear(box, news, Now());
+  hooks.on_gossip = [this](const std::string& box, const CrashNews& gossip) {
+    return this->crash_watch.Hear(box, gossip, Now());
   };
   hooks.quarantine_record = [this](ContentId content, const std::string& value) {
     this->crash_watch.OnRecord(content, value, Now());
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -160,9 +160,9 @@
 
 void LoadExchange::OnFreshnessNote(const LoadDigest& digest) {
   uint64_t own_version = this->hooks.config_version();
-  std::optional<Time> proved =
+  std::optional<Time> validated_at =
       this->freshness.Hear(digest.box, digest.incarnation, *digest.freshness, own_version, Now());
-  if (proved) this->hooks.on_validated(*proved);
+  if (validated_at) this->hooks.on_validated(*validated_at);
   if (digest.freshness->config_version <= own_version) return;
   const Peer* peer = this->directory.Find(digest.box);
   this->hooks.on_newer_version(digest.freshness->config_version,
@@ -178,17 +178,17 @@
 
 // Sends one batch per tick to kFanout random peers; the rest stays queued for later ticks.
 void LoadExchange::SendPendingGossip(Time now) {
-  CrashNews news = this->hooks.take_gossip();
-  if (news.empty()) return;
+  CrashNews gossip = this->hooks.take_gossip();
+  if (gossip.empty()) return;
   for (const Peer* peer : this->directory.Draw(CrashNewsQueue::kFanout, &this->random)) {
-    this->SendGossip(*peer, news, now);
+    this->SendGossip(*peer, gossip, now);
   }
 }
 
-void LoadExchange::SendGossip(const Peer& peer, CrashNews news, Time now) {
+void LoadExchange::SendGossip(const Peer& peer, CrashNews gossip, Time now) {
   LoadDigest digest = this->NewDigest(now);
   digest.sequence = ++this->sequence;
-  digest.crash_news = std::move(news);
+  digest.crash_news = std::move(gossip);
   this->Send(peer, EncodeDigest(digest));
 }
 
@@ -311,16 +311,16 @@
 // Sends changed notices, or in a refresh round all notices that still hold.
 void LoadExchange::SendNotices(bool all, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, NoticeWord>> by_members;
-  for (const auto& [engine, word] : this->fleet->NoticesToTell(all, now)) {
-    by_members[this->GatewaysOfEngine(engine, now)][engine] = word;
+  for (const auto& [engine, report] : this->fleet->NoticesToTell(all, now)) {
+    by_members[this->GatewaysOfEngine(engine, now)][engine] = report;
   }
-  for (auto& [members, words] : by_members) {
+  for (auto& [members, reports] : by_members) {
     LoadDigest digest = this->NewDigest(now);
-    while (!words.empty()) {
+    while (!reports.empty()) {
       digest.sequence = ++this->sequence;
       digest.notices.clear();
-      while (!words.empty() && digest.notices.size() < kEntriesPerDatagram) {
-        digest.notices.insert(words.extract(words.begin()));
+      while (!reports.empty() && digest.notices.size() < kEntriesPerDatagram) {
+        digest.notices.insert(reports.extract(reports.begin()));
       }
       std::string datagram = EncodeDigest(digest);
       for (const Peer* peer : members) this->Send(*peer, datagram);
@@ -329,13 +329,13 @@
 }
 
 void LoadExchange::OnNotices(const LoadDigest& digest, Time now) {
-  for (const auto& [engine, word] : digest.notices) {
-    EngineNotices::Change change = this->fleet->notices().HearWord(engine, word, now);
+  for (const auto& [engine, report] : digest.notices) {
+    EngineNotices::Change change = this->fleet->notices().HearWord(engine, report, now);
     if (!change.any()) continue;
     LogLine line("engine_notice");
     line.Text("engine", engine).Text("told_by", digest.box);
-    if (change.limit && word.limit->per_s) line.Number("limit_per_s", *word.limit->per_s);
-    if (change.limit && !word.limit->per_s) line.Number("limit_lifted", 1);
+    if (change.limit && report.limit->per_s) line.Number("limit_per_s", *report.limit->per_s);
+    if (change.limit && !report.limit->per_s) line.Number("limit_lifted", 1);
     if (change.leaving) line.Number("leaving", 1);
     this->log->Write(line);
   }
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -76,7 +76,7 @@
     // The version of the engine list's copy in the store: as this gateway has it, and called
     // with a peer's report of it.
     std::function<CopyMark()> engines_copied;
-    std::function<void(const CopyMark& mark)> on_engines_copied;
+    std::function<void(const CopyMark& version)> on_engines_copied;
     // The offset up to which the engine list has been read: by this gateway, and called with
     // a peer's report of its own offset.
     std::function<uint64_t()> engines_read_to;
@@ -87,7 +87,7 @@
     // Takes the crash reports that are due to be sent to a few peers; empty if there are none.
     std::function<CrashNews()> take_gossip;
     // Called with crash reports from a peer.  Returns what to send to that peer in reply.
-    std::function<CrashNews(const std::string& box, const CrashNews& news)> on_gossip;
+    std::function<CrashNews(const std::string& box, const CrashNews& gossip)> on_gossip;
     // Called with an entry of the peers' topic about a quarantined request content.
     std::function<void(ContentId content, const std::string& value)> quarantine_record;
     // Called with the entry of the peers' topic that names the settled epoch of the store.
@@ -140,7 +140,7 @@
   void OnFreshnessNote(const LoadDigest& digest);
   void OnGossip(const LoadDigest& digest);
   void SendPendingGossip(Time now);
-  void SendGossip(const Peer& peer, CrashNews news, Time now);
+  void SendGossip(const Peer& peer, CrashNews gossip, Time now);
   LoadDigest NewDigest(Time now);
   std::map<std::string, EngineLoad> TakeUnsent(bool all, Time now);
   std::vector<const Peer*> Neighbours(Time now);
--- a/src/gateway/quarantine_store.h
+++ b/src/gateway/quarantine_store.h
@@ -4,8 +4,8 @@
 // time.  Therefore each quarantined request content has an entry in the peers' topic, which
 // every gateway reads when it starts and then follows.  Any gateway may write the entry: each
 // one waits for a random delay and writes only if the topic still lacks the entry.  Witnesses,
-// which saw an engine crash while it ran the content, draw a short delay.  The other gateways
-// draw a long one, in case no witness is left.  Expired entries are removed in the same way.
+// which saw an engine crash while it ran the content, use a short delay.  The other gateways
+// use a long one, in case no witness is left.  Expired entries are removed in the same way.
 //
 //   QuarantineStore quarantine_store(&loop, store, &recovery, seed);
 //   quarantine_store.Keep(content, entry, /*is_witness=*/true, now);
--- a/src/gateway/settled_epoch_writer.h
+++ b/src/gateway/settled_epoch_writer.h
@@ -1,6 +1,6 @@
 // Writes to the store which of its epochs is settled (serving/epoch_mark.h).
 //
-// A starting gateway cannot tell whether the store has just returned from an older copy, so it
+// A starting gateway cannot determine whether the store has just returned from an older copy, so it
 // waits before it accepts keys.  An entry that names the current epoch as settled makes this
 // wait unnecessary.  Any gateway may write the entry: each one that has observed the epoch for
 // long enough waits for a random delay, and writes only if the entry is still missing.
--- a/src/gateway/store_client.cc
+++ b/src/gateway/store_client.cc
@@ -60,8 +60,8 @@
   });
 }
 
-// A refusal without an epoch may come from a proxy in front of the store, which need not know
-// the epoch, so it is passed on without a check.
+// A refusal without an epoch may come from a proxy in front of the store, which does not
+// state the epoch, so it is passed on without a check.
 bool StoreClient::IsUsable(const StoreAnswer& answer) {
   bool is_from_store = answer.epoch || answer.ok() || answer.status == platform::kRecordsGone;
   return this->returns == nullptr || !is_from_store ||
