--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -103,7 +103,8 @@
   this->crash_watch.OnStoreReturn(Now());
 }
 
-// A peer's report of a newer store epoch is not trusted; it only triggers a read of the store.
+// Accepts a peer's report that the current epoch is settled.  A report of a newer epoch is not
+// trusted; it only triggers a read of the store.
 void GatewayServer::OnPeerEpoch(uint64_t epoch, bool is_settled) {
   StoreReturns& returns = this->store_recovery.returns();
   std::optional<uint64_t> own = returns.epoch().current();
