--- a/src/gateway/config_revalidator.cc
+++ b/src/gateway/config_revalidator.cc
@@ -10,7 +10,7 @@
 // Whether the answer to a read from `position` shows that the topic ends there.
 bool EndsAt(uint64_t position, const StoreAnswer& answer) {
   if (!answer.ok()) return false;
-  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeTail(answer.body);
+  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeKeyedTail(answer.body);
   return tail.ok() && tail->records.empty() && tail->end == position;
 }
 
@@ -32,19 +32,20 @@
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   bool is_unsettled = epoch.is_known() && !epoch.IsSettledFor(now);
   bool is_due = !is_unsettled && this->schedule.IsDue(validated_at, now);
-  bool is_wanted_now = this->is_requested && !this->schedule.is_asking();
+  bool is_wanted_now = this->is_requested && !this->schedule.is_pending();
   if (is_due || is_wanted_now) this->Revalidate(*position, now);
 }
 
 void ConfigRevalidator::Revalidate(uint64_t position, Time now) {
-  this->schedule.NoteAsked();
+  this->schedule.NoteRequested();
   this->is_requested = false;
   std::optional<uint64_t> epoch = this->recovery->returns().epoch().current();
-  this->client.Call(
-      platform::ReadFrom(this->topic, position, /*wait=*/Duration(0), TopicFollower::kProbeKb),
-      StoreClient::kAnswerTimeout, [this, position, epoch, now](const StoreAnswer& answer) {
-        this->OnAnswer(answer, position, epoch, now);
-      });
+  this->client.Call(platform::ReadRecordsRequest(this->topic, position, /*wait=*/Duration(0),
+                                                 TopicFollower::kProbeKb),
+                    StoreClient::kAnswerTimeout,
+                    [this, position, epoch, now](const StoreAnswer& answer) {
+                      this->OnAnswer(answer, position, epoch, now);
+                    });
 }
 
 void ConfigRevalidator::RecordLatency(Duration latency) {
@@ -74,7 +75,7 @@
     });
     return;
   }
-  this->schedule.NoteProved();
+  this->schedule.NoteValidated();
   if (!this->hooks.validated(sent)) this->schedule.NoteBehind(Now());
 }
 
--- a/src/gateway/engine_list_copy.h
+++ b/src/gateway/engine_list_copy.h
@@ -58,11 +58,13 @@
   // Sets the current engine list.
   void SetList(std::vector<EngineRecord> engines, Time now);
   // Handles the store's return from an older copy: the list is written again.
-  void OnStoreReturn() { this->schedule.NoteLost(this->recovery->returns().epoch().settled_at()); }
+  void OnStoreReturn() {
+    this->schedule.NoteStoreReturn(this->recovery->returns().epoch().settled_at());
+  }
   // Handles a peer's report of the version of the copy.
-  void OnPeerCopy(const CopyMark& version, Time now) { this->schedule.NoteCopy(version, now); }
+  void OnPeerCopy(const CopyVersion& version, Time now) { this->schedule.NoteCopy(version, now); }
   // The version of the copy to report to peers.
-  const CopyMark& copied() const { return this->schedule.copy(); }
+  const CopyVersion& copied() const { return this->schedule.copy(); }
   // Sets the number of gateways that report the version of the copy to each other.
   void SetGateways(size_t count) { this->schedule.SetGateways(count); }
 
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -83,8 +83,8 @@
 // which the store therefore lacks.
 bool GatewayServer::OnValidated(Time sent) {
   bool is_settled = this->store_recovery.returns().epoch().IsSettledFor(sent);
-  bool store_is_behind = this->ConfigVersion() < this->state.newest_version_told &&
-                         this->state.newest_version_told_at <= sent;
+  bool store_is_behind = this->ConfigVersion() < this->state.newest_peer_version &&
+                         this->state.newest_peer_version_at <= sent;
   if (!is_settled || store_is_behind) return false;
   this->state.keys.Confirm(sent);
   return true;
@@ -116,9 +116,9 @@
 // version after kMaxUpdateDelay, the read may be stuck on a dead connection.
 void GatewayServer::OnNewerVersion(uint64_t version, const Peer& peer) {
   Time now = Now();
-  if (version > this->state.newest_version_told) {
-    this->state.newest_version_told = version;
-    this->state.newest_version_told_at = now;
+  if (version > this->state.newest_peer_version) {
+    this->state.newest_peer_version = version;
+    this->state.newest_peer_version_at = now;
   }
   if (version != this->newer_version) {
     this->newer_version = version;
@@ -165,7 +165,7 @@
   }
   status = this->load_exchange.Start(peers_port);
   if (!status.ok()) return status;
-  this->state.tell_peers = [this] { this->load_exchange.SendLoads(Now()); };
+  this->state.send_to_peers = [this] { this->load_exchange.SendLoads(Now()); };
   this->config_follower.Start();
   if (this->state.fleet.mechanisms().copy_engine_list) {
     this->engine_list_copy.Read();
@@ -292,7 +292,7 @@
 
 void GatewayServer::TickFleet(Time now) {
   size_t peers = this->load_exchange.peers();
-  if (peers > 0) this->state.fleet.SetProcesses(peers + 1);
+  if (peers > 0) this->state.fleet.SetProcessCount(peers + 1);
   this->engine_follower.SetWait(this->RandomEngineListWait());
   this->state.pool.Tick(now);
   this->state.fleet.ForgetUnlisted(now);
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -57,7 +57,7 @@
   bool IsReady() const;
 
   // The engines that this gateway has set aside because of failures that it saw itself.
-  std::set<std::string> SetAside() const { return this->state.fleet.SetAside(Now()); }
+  std::set<std::string> SetAside() const { return this->state.fleet.SetAsideEngines(Now()); }
 
   // The port for callers.  The kernel chooses it if the settings name port 0.
   uint16_t callers_port() const { return this->callers_listener.port(); }
@@ -78,10 +78,10 @@
   size_t engines_leaving() const { return this->state.fleet.notices().leaving(); }
 
   // The number of request contents that are refused because they crash engines.
-  size_t quarantined() const { return this->crash_watch.contents().quarantined(); }
+  size_t quarantined() const { return this->crash_watch.quarantine().quarantined(); }
 
   // The number of request contents that were running when an engine crashed.
-  size_t suspects() const { return this->crash_watch.contents().suspects(); }
+  size_t suspects() const { return this->crash_watch.quarantine().suspects(); }
 
   // Entries of the engine list that could not be parsed, since the process started.
   uint64_t unreadable_entries() const { return this->state.counters.entries_unreadable; }
--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -44,7 +44,7 @@
     this->OnNewerVersion(version, peer);
   };
   hooks.engines_copied = [this] { return this->engine_list_copy.copied(); };
-  hooks.on_engines_copied = [this](const CopyMark& copy_version) {
+  hooks.on_engines_copied = [this](const CopyVersion& copy_version) {
     this->engine_list_copy.OnPeerCopy(copy_version, Now());
   };
   hooks.on_store_epoch = [this](uint64_t epoch, bool is_settled) {
@@ -55,9 +55,9 @@
   };
   hooks.engines_read_to = [this] { return this->engine_follower.position().value_or(0); };
   hooks.on_engines_read_to = [this](uint64_t offset) { this->OnPeerEngineListPosition(offset); };
-  hooks.take_gossip = [this] { return this->crash_watch.TakeNews(); };
-  hooks.on_gossip = [this](const std::string& box, const CrashNews& gossip) {
-    return this->crash_watch.Hear(box, gossip, Now());
+  hooks.take_gossip = [this] { return this->crash_watch.TakeGossip(); };
+  hooks.on_gossip = [this](const std::string& box, const CrashGossip& gossip) {
+    return this->crash_watch.ReceiveGossip(box, gossip, Now());
   };
   hooks.quarantine_record = [this](ContentId content, const std::string& value) {
     this->crash_watch.OnRecord(content, value, Now());
@@ -68,9 +68,9 @@
 CrashWatch::Options GatewayServer::CrashWatchOptions() const {
   const GatewaySettings& settings = this->state.settings;
   CrashWatch::Options options;
-  options.is_on = settings.mechanisms.quarantine;
+  options.is_enabled = settings.mechanisms.quarantine;
   options.box = settings.box;
-  options.lasts = settings.quarantine;
+  options.quarantine_duration = settings.quarantine;
   options.store = settings.store;
   options.seed = this->state.incarnation;
   return options;
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -6,9 +6,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "serving/epoch_mark.h"
 #include "serving/gateway_entry.h"
 #include "serving/quarantine_entry.h"
+#include "serving/settled_epoch.h"
 
 namespace gullward {
 namespace {
@@ -87,8 +87,8 @@
 
 void LoadExchange::Register() {
   platform::KeyedRecord record{this->box, this->OwnEntry()};
-  this->registrar.Call(platform::AppendKeyed(platform::kPeersTopic, record), kRegisterTimeout,
-                       [this](const StoreAnswer& answer) {
+  this->registrar.Call(platform::AppendRecordRequest(platform::kPeersTopic, record),
+                       kRegisterTimeout, [this](const StoreAnswer& answer) {
                          if (answer.ok()) return;
                          this->log->Write(LogLine("register_failed")
                                               .Number("status", answer.status)
@@ -113,7 +113,7 @@
     this->hooks.quarantine_record(*content, record.value);
     return;
   }
-  if (record.key == kEpochMarkKey) {
+  if (record.key == kSettledEpochKey) {
     this->hooks.settled_epoch_record(record.value);
     return;
   }
@@ -133,16 +133,17 @@
   std::optional<LoadDigest> digest = DecodeDigest(datagram);
   if (!digest || digest->box == this->box) return;
   if (digest->freshness) this->OnFreshnessNote(*digest);
-  if (!digest->crash_news.empty()) this->OnGossip(*digest);
+  if (!digest->crash_gossip.empty()) this->OnGossip(*digest);
   Time now = Now();
-  this->liveness.Hear(digest->box, now);
+  this->liveness.OnDatagram(digest->box, now);
   this->OnNotices(*digest, now);
   this->OnStoreState(*digest);
   if (digest->is_offer) {
-    this->fleet->HearOffer(digest->box, digest->incarnation, digest->sequence, digest->loads, now);
+    this->fleet->ReceiveOffer(digest->box, digest->incarnation, digest->sequence, digest->loads,
+                              now);
     return;
   }
-  this->fleet->HearSetAside(digest->box, digest->set_aside, now);
+  this->fleet->ReceiveSetAside(digest->box, digest->set_aside, now);
   if (!this->fleet->mechanisms().peer_loads) return;
   this->fleet->loads().ApplyPeer(digest->box, digest->incarnation, digest->sequence, digest->loads,
                                  now);
@@ -155,13 +156,13 @@
   }
   if (digest.store_epoch != this->recovery->returns().epoch().current()) return;
   this->hooks.on_engines_read_to(digest.engines_read_to);
-  if (digest.engines_copied.content != 0) this->hooks.on_engines_copied(digest.engines_copied);
+  if (digest.engines_copied.fingerprint != 0) this->hooks.on_engines_copied(digest.engines_copied);
 }
 
 void LoadExchange::OnFreshnessNote(const LoadDigest& digest) {
   uint64_t own_version = this->hooks.config_version();
-  std::optional<Time> validated_at =
-      this->freshness.Hear(digest.box, digest.incarnation, *digest.freshness, own_version, Now());
+  std::optional<Time> validated_at = this->freshness.ReceiveNote(
+      digest.box, digest.incarnation, *digest.freshness, own_version, Now());
   if (validated_at) this->hooks.on_validated(*validated_at);
   if (digest.freshness->config_version <= own_version) return;
   const Peer* peer = this->directory.Find(digest.box);
@@ -170,7 +171,7 @@
 }
 
 void LoadExchange::OnGossip(const LoadDigest& digest) {
-  CrashNews reply = this->hooks.on_gossip(digest.box, digest.crash_news);
+  CrashGossip reply = this->hooks.on_gossip(digest.box, digest.crash_gossip);
   if (reply.empty()) return;
   const Peer* peer = this->directory.Find(digest.box);
   if (peer != nullptr) this->SendGossip(*peer, std::move(reply), Now());
@@ -178,17 +179,17 @@
 
 // Sends one batch per tick to kFanout random peers; the rest stays queued for later ticks.
 void LoadExchange::SendPendingGossip(Time now) {
-  CrashNews gossip = this->hooks.take_gossip();
+  CrashGossip gossip = this->hooks.take_gossip();
   if (gossip.empty()) return;
-  for (const Peer* peer : this->directory.Draw(CrashNewsQueue::kFanout, &this->random)) {
+  for (const Peer* peer : this->directory.Sample(CrashGossipQueue::kFanout, &this->random)) {
     this->SendGossip(*peer, gossip, now);
   }
 }
 
-void LoadExchange::SendGossip(const Peer& peer, CrashNews gossip, Time now) {
+void LoadExchange::SendGossip(const Peer& peer, CrashGossip gossip, Time now) {
   LoadDigest digest = this->NewDigest(now);
   digest.sequence = ++this->sequence;
-  digest.crash_news = std::move(gossip);
+  digest.crash_gossip = std::move(gossip);
   this->Send(peer, EncodeDigest(digest));
 }
 
@@ -230,14 +231,15 @@
 
 // Returns the loads to send: the changed ones, or all of them.  Marks them as sent.
 std::map<std::string, EngineLoad> LoadExchange::TakeUnsent(bool all, Time now) {
-  std::map<std::string, EngineLoad> own = this->fleet->loads().Own(now);
+  std::map<std::string, EngineLoad> own = this->fleet->loads().OwnLoads(now);
   // A load that was sent and has ended is sent once more, as zero.
   for (const auto& [engine, load] : this->sent_loads) own.try_emplace(engine);
   std::map<std::string, EngineLoad> unsent;
   bool count_reading = this->fleet->mechanisms().tell_reading;
   for (const auto& [engine, load] : own) {
     auto before = this->sent_loads.find(engine);
-    bool is_new = before == this->sent_loads.end() || IsNews(before->second, load, count_reading);
+    bool is_new = before == this->sent_loads.end() ||
+                  IsSignificantChange(before->second, load, count_reading);
     if (!is_new && !all) continue;
     unsent[engine] = load;
     if (load.requests == 0 && load.reading_ms == 0) {
@@ -251,9 +253,9 @@
 
 std::vector<const Peer*> LoadExchange::Neighbours(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<const Peer*> neighbours =
-      this->directory.NextOf(plan.main_service(), main.cells, main.home, plan.revision());
+      this->directory.MembersForRound(plan.main_service(), main.cells, main.home, plan.revision());
   this->neighbour_count = neighbours.size();
   return neighbours;
 }
@@ -263,8 +265,9 @@
   const EngineRecord* record = this->fleet->directory().FindIncarnation(engine);
   if (record == nullptr) return {};
   const WorkPlan& plan = this->fleet->plan(now);
-  const CellMap& cells = plan.Of(record->service).cells;
-  return this->directory.NextOf(record->service, cells, cells.CellOf(*record), plan.revision());
+  const CellMap& cells = plan.ForService(record->service).cells;
+  return this->directory.MembersForRound(record->service, cells, cells.CellOf(*record),
+                                         plan.revision());
 }
 
 // Sends each load to the members of the engine's cell.  Engines with the same members share
@@ -296,22 +299,22 @@
 void LoadExchange::SendOffers(Time now) {
   if (!this->fleet->mechanisms().spill) return;
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
-  std::vector<const Peer*> receivers =
-      this->directory.DrawOutside(main.cells, main.home, Spill::kReceivers, &this->random);
+  const ServicePlan& main = plan.ForService(plan.main_service());
+  std::vector<const Peer*> receivers = this->directory.SampleOutside(
+      main.cells, main.home, Spill::kReceiversPerRound, &this->random);
   if (receivers.empty()) return;
   LoadDigest digest = this->NewDigest(now);
   digest.is_offer = true;
   digest.sequence = ++this->sequence;
-  digest.loads = this->fleet->Offer(now);
+  digest.loads = this->fleet->EnginesToOffer(now);
   std::string datagram = EncodeDigest(digest);
   for (const Peer* peer : receivers) this->Send(*peer, datagram);
 }
 
 // Sends changed notices, or in a refresh round all notices that still hold.
 void LoadExchange::SendNotices(bool all, Time now) {
-  std::map<std::vector<const Peer*>, std::map<std::string, NoticeWord>> by_members;
-  for (const auto& [engine, report] : this->fleet->NoticesToTell(all, now)) {
+  std::map<std::vector<const Peer*>, std::map<std::string, NoticeReport>> by_members;
+  for (const auto& [engine, report] : this->fleet->NoticesToSend(all, now)) {
     by_members[this->GatewaysOfEngine(engine, now)][engine] = report;
   }
   for (auto& [members, reports] : by_members) {
@@ -330,7 +333,7 @@
 
 void LoadExchange::OnNotices(const LoadDigest& digest, Time now) {
   for (const auto& [engine, report] : digest.notices) {
-    EngineNotices::Change change = this->fleet->notices().HearWord(engine, report, now);
+    EngineNotices::Change change = this->fleet->notices().ReceiveReport(engine, report, now);
     if (!change.any()) continue;
     LogLine line("engine_notice");
     line.Text("engine", engine).Text("told_by", digest.box);
@@ -345,13 +348,13 @@
 // failed or is unreachable.
 void LoadExchange::UpdateSilentPeers(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
-  const ServicePlan& main = plan.Of(plan.main_service());
+  const ServicePlan& main = plan.ForService(plan.main_service());
   std::vector<std::string> boxes;
   for (const Peer* peer :
        this->directory.MembersOf(plan.main_service(), main.cells, main.home, plan.revision())) {
     boxes.push_back(peer->box);
   }
-  this->fleet->SetSilentGateways(this->liveness.Silent(boxes, now));
+  this->fleet->SetSilentGateways(this->liveness.SilentPeers(boxes, now));
 }
 
 void LoadExchange::Send(const Peer& peer, const std::string& datagram) {
@@ -371,7 +374,7 @@
   const StoreEpoch& epoch = this->recovery->returns().epoch();
   digest.store_epoch = epoch.current();
   digest.epoch_is_settled = epoch.IsSettledFor(now);
-  for (const std::string& engine : this->fleet->SetAside(now)) {
+  for (const std::string& engine : this->fleet->SetAsideEngines(now)) {
     if (digest.set_aside.size() < kMaxSetAsideEntries) digest.set_aside.insert(engine);
   }
   return digest;
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -75,8 +75,8 @@
     std::function<void(uint64_t config_version, const Peer& peer)> on_newer_version;
     // The version of the engine list's copy in the store: as this gateway has it, and called
     // with a peer's report of it.
-    std::function<CopyMark()> engines_copied;
-    std::function<void(const CopyMark& version)> on_engines_copied;
+    std::function<CopyVersion()> engines_copied;
+    std::function<void(const CopyVersion& version)> on_engines_copied;
     // The offset up to which the engine list has been read: by this gateway, and called with
     // a peer's report of its own offset.
     std::function<uint64_t()> engines_read_to;
@@ -85,9 +85,9 @@
     // epoch as settled.
     std::function<void(uint64_t epoch, bool is_settled)> on_store_epoch;
     // Takes the crash reports that are due to be sent to a few peers; empty if there are none.
-    std::function<CrashNews()> take_gossip;
+    std::function<CrashGossip()> take_gossip;
     // Called with crash reports from a peer.  Returns what to send to that peer in reply.
-    std::function<CrashNews(const std::string& box, const CrashNews& gossip)> on_gossip;
+    std::function<CrashGossip(const std::string& box, const CrashGossip& gossip)> on_gossip;
     // Called with an entry of the peers' topic about a quarantined request content.
     std::function<void(ContentId content, const std::string& value)> quarantine_record;
     // Called with the entry of the peers' topic that names the settled epoch of the store.
@@ -125,7 +125,7 @@
   uint64_t datagrams_sent() const { return this->sent; }
   uint64_t bytes_sent() const { return this->sent_bytes; }
   uint64_t datagrams_received() const { return this->received; }
-  uint64_t deferred_peers() const { return this->directory.untold(); }
+  uint64_t deferred_peers() const { return this->directory.deferred(); }
   uint64_t store_calls() const { return this->follower.calls() + this->registrar.calls(); }
 
  private:
@@ -140,7 +140,7 @@
   void OnFreshnessNote(const LoadDigest& digest);
   void OnGossip(const LoadDigest& digest);
   void SendPendingGossip(Time now);
-  void SendGossip(const Peer& peer, CrashNews gossip, Time now);
+  void SendGossip(const Peer& peer, CrashGossip gossip, Time now);
   LoadDigest NewDigest(Time now);
   std::map<std::string, EngineLoad> TakeUnsent(bool all, Time now);
   std::vector<const Peer*> Neighbours(Time now);
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -26,7 +26,7 @@
   count("gullward_answers_broken_total", "Answers that ended early", counters.answers_broken);
   count("gullward_callers_gone_total", "Callers that disconnected before their answer was complete",
         counters.callers_gone);
-  count("gullward_events_total", "Stream events forwarded", counters.events_passed);
+  count("gullward_events_total", "Stream events forwarded", counters.events_forwarded);
   count("gullward_spilled_total", "Attempts sent to engines of other cells", counters.spilled);
   count("gullward_datagrams_sent_total", "Datagrams sent to peers", snapshot.datagrams_sent);
   count("gullward_datagram_bytes_sent_total", "Bytes of datagrams sent to peers",
@@ -43,8 +43,8 @@
         counters.engine_restarts);
   const char* const notices_help = "Changes that engines announced of their own state, by kind";
   for (const auto& [kind, changes] :
-       {std::pair("limit", counters.limits_heard), std::pair("leaving", counters.leavings_heard),
-        std::pair("rest", counters.rests_heard)}) {
+       {std::pair("limit", counters.limit_changes), std::pair("leaving", counters.leaving_changes),
+        std::pair("rest", counters.rest_changes)}) {
     text->Counter("gullward_engine_notices_total", notices_help, {{"kind", kind}},
                   static_cast<double>(changes));
   }
@@ -69,7 +69,7 @@
 
 // Adds the metrics about requests that crash engines.
 void AddCrashes(const CrashWatch& watch, MetricsText* text) {
-  for (const auto& [finding, attempts] : watch.broken()) {
+  for (const auto& [finding, attempts] : watch.broken_attempts()) {
     text->Counter("gullward_attempts_broken_total",
                   "Attempts that ended early, by what was found out about the engine",
                   {{"engine", NameOf(finding)}}, static_cast<double>(attempts));
@@ -78,16 +78,16 @@
     text->Counter(name, help, {}, static_cast<double>(value));
   };
   count("gullward_crash_news_dropped_total", "Crash gossip dropped because the queue was full",
-        watch.news_dropped());
+        watch.gossip_dropped());
   count("gullward_suspects_forgotten_total",
         "Request contents evicted from the crash records to make room",
-        watch.contents().forgotten());
+        watch.quarantine().forgotten());
   count("gullward_quarantine_unkept_total",
-        "Quarantined request contents without room in the store", watch.unkept());
+        "Quarantined request contents without room in the store", watch.unstored_entries());
   text->Gauge("gullward_suspects", "Request contents that were running when an engine crashed", {},
-              static_cast<double>(watch.contents().suspects()));
+              static_cast<double>(watch.quarantine().suspects()));
   text->Gauge("gullward_quarantined", "Request contents in quarantine", {},
-              static_cast<double>(watch.contents().quarantined()));
+              static_cast<double>(watch.quarantine().quarantined()));
 }
 
 void AddLatencies(const GatewayCounters& counters, MetricsText* text) {
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -52,7 +52,7 @@
       : loop(event_loop), address(std::move(store_address)), returns(store_returns) {}
 
   // Sends a call.  No other call may be in progress.
-  void Call(const platform::HttpCallText& call, Duration timeout, Done done);
+  void Call(const platform::StoreRequest& call, Duration timeout, Done done);
 
   // The time since bytes last arrived for the call in progress, or zero without a call.
   Duration TimeSinceProgress(Time now) const;
--- a/src/gateway/store_returns.h
+++ b/src/gateway/store_returns.h
@@ -32,13 +32,13 @@
   // Records the epoch stated by the answer to a call sent at `sent`.  Returns whether the answer
   // may be used: it may not if it was made before a known return of the store.
   bool RecordEpoch(std::optional<uint64_t> answered, Time sent) {
-    StoreEpoch::Standing standing = this->state.Hear(answered, sent, Now());
-    if (standing == StoreEpoch::Standing::kReturned) this->NotifyListeners();
-    return standing != StoreEpoch::Standing::kOutdated;
+    StoreEpoch::AnswerStatus standing = this->state.OnAnswer(answered, sent, Now());
+    if (standing == StoreEpoch::AnswerStatus::kReturned) this->NotifyListeners();
+    return standing != StoreEpoch::AnswerStatus::kOutdated;
   }
 
   // Records that a gateway has observed this epoch for long enough to regard it as settled.
-  void Settle(uint64_t settled_epoch) { this->state.Settle(settled_epoch, Now()); }
+  void Settle(uint64_t settled_epoch) { this->state.MarkSettled(settled_epoch, Now()); }
 
   const StoreEpoch& epoch() const { return this->state; }
 
--- a/src/gateway/testing/catch_up_test.cc
+++ b/src/gateway/testing/catch_up_test.cc
@@ -15,7 +15,7 @@
 #include <string>
 
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/headers.h"
 #include "serving/gateway_entry.h"
 #include "serving/load_digest.h"
@@ -33,7 +33,7 @@
 constexpr size_t kVersionBytes = 100'000;
 
 // The fixture's configuration with one more route for the version.
-json LargeConfig(const GatewayWorld& fixture, int version) {
+json LargeConfig(const GatewayFixture& fixture, int version) {
   json config = fixture.DefaultConfig();
   config["version"] = version;
   config["padding"] = std::string(kVersionBytes, 'x');
@@ -44,7 +44,7 @@
   return config;
 }
 
-std::string RequestFor(const GatewayWorld& fixture, int version) {
+std::string RequestFor(const GatewayFixture& fixture, int version) {
   std::string request = fixture.SafeRequest(absl::StrCat("to-", version));
   const std::string old_path = "/app/look/x";
   request.replace(request.find(old_path), old_path.size(), absl::StrCat("/version/", version, "/"));
@@ -53,9 +53,9 @@
 
 BOOST_AUTO_TEST_CASE(WhoSaysThatItIsCurrentHasTheNewestVersion) {
   for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.key_trust = milliseconds(600);
-    GatewayWorld fixture(options);
+    GatewayFixture fixture(options);
     fixture.Publish(LargeConfig(fixture, 1));
     fixture.StartGateway();
     fixture.store.SetTrouble(trouble);
@@ -98,7 +98,7 @@
     this->published = value;
   }
   bool RunUntilCurrent() {
-    Time deadline = Now() + kTestPatience;
+    Time deadline = Now() + kTestTimeout;
     while (this->newest != this->published && Now() < deadline)
       this->loop.RunOnce(milliseconds(20));
     return this->newest == this->published;
@@ -181,7 +181,7 @@
     store.Put(kConfigTopic, kConfigKey, std::string(kVersionBytes, 'x'));
   }
   revalidator.Tick(Time{}, Now());
-  Time deadline = Now() + kTestPatience;
+  Time deadline = Now() + kTestTimeout;
   while (!is_behind && Now() < deadline) loop.RunOnce(milliseconds(20));
   BOOST_TEST(is_behind);
   BOOST_TEST(store.bytes_answered() <= 2 * kVersionBytes);
@@ -202,7 +202,7 @@
 // A route or key that is missing in the configuration may be present in a newer version that is
 // known to exist.  Therefore it must not be denied: the caller is asked to retry later.
 BOOST_AUTO_TEST_CASE(NothingIsDeniedByAConfigurationThatIsKnownToBeOld) {
-  GatewayWorld fixture({});
+  GatewayFixture fixture({});
   fixture.Publish(LargeConfig(fixture, 1));
   fixture.StartGateway();
   std::string unknown_key = fixture.SafeRequest("k");
--- a/src/gateway/testing/config_from_peers_test.cc
+++ b/src/gateway/testing/config_from_peers_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "absl/strings/str_cat.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "platform/testing/document_writer.h"
 
 namespace gullward {
@@ -20,7 +20,7 @@
 // The fixture's gateway, and a second gateway with its own store, a copy of the fixture's store
 // that receives no further writes.
 struct TwoStores {
-  explicit TwoStores(const WorldOptions& options) : fixture(options), copy(&fixture.loop) {
+  explicit TwoStores(const GatewayFixtureOptions& options) : fixture(options), copy(&fixture.loop) {
     this->Publish(1);
     this->fixture.StartGateway();
     this->copy.Put("keyed.op", "config", this->fixture.store.Newest("keyed.op", "config"));
@@ -30,7 +30,7 @@
     BOOST_TEST_REQUIRE(this->fixture.RunUntil(
         [this] { return !this->fixture.store.Newest(kOwnTopic, "box-1").empty(); }));
     this->CopyRecord(kOwnTopic, "box-1");
-    this->fixture.AddGatewayAt(this->copy.address());
+    this->fixture.AddGatewayWithStore(this->copy.address());
     BOOST_TEST_REQUIRE(
         this->fixture.RunUntil([this] { return !this->copy.Newest(kOwnTopic, "box-2").empty(); }));
     this->fixture.store.Put(kOwnTopic, "box-2", this->copy.Newest(kOwnTopic, "box-2"));
@@ -73,13 +73,13 @@
     return all_served;
   }
 
-  GatewayWorld fixture;
+  GatewayFixture fixture;
   StoreStandin copy;
 };
 
 BOOST_AUTO_TEST_CASE(AChangeThatTheStoreRefusesComesFromAPeer) {
   for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.key_trust = seconds(4);
     TwoStores stores(options);
     stores.copy.SetTrouble(trouble);
@@ -92,7 +92,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(WithoutTheMechanismTheGatewayWaitsForTheStore) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.key_trust = seconds(2);
   options.mechanisms.config_from_peers = false;
   TwoStores stores(options);
--- a/src/gateway/testing/store_return_test.cc
+++ b/src/gateway/testing/store_return_test.cc
@@ -18,7 +18,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "gateway/crash_watch.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 #include "serving/quarantine_entry.h"
 
 namespace gullward {
@@ -129,7 +129,7 @@
 
 // A version of the fixture's configuration: it has one more route for the version, and the
 // second key only if that has not been removed.
-json Version(const GatewayWorld& fixture, int version, bool with_second_key = true) {
+json Version(const GatewayFixture& fixture, int version, bool with_second_key = true) {
   json config = fixture.DefaultConfig();
   config["version"] = version;
   json route = config["routes"][1];
@@ -140,23 +140,23 @@
   return config;
 }
 
-std::string RequestFor(const GatewayWorld& fixture, int version) {
+std::string RequestFor(const GatewayFixture& fixture, int version) {
   std::string request = fixture.SafeRequest(absl::StrCat("to-", version));
   const std::string old_path = "/app/look/x";
   request.replace(request.find(old_path), old_path.size(), absl::StrCat("/version/", version, "/"));
   return request;
 }
 
-bool IsServed(GatewayWorld* fixture, const std::string& request, size_t gateway = 0) {
+bool IsServed(GatewayFixture* fixture, const std::string& request, size_t gateway = 0) {
   return fixture->Call(request, gateway).head.status == 200;
 }
 
 // A gateway that regards its keys as current has the newest version, even if the topic again has
 // as many records as the gateway had read.
 BOOST_AUTO_TEST_CASE(NoProofByAnOffsetThatWasGivenOutAgain) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.key_trust = milliseconds(600);
-  GatewayWorld fixture(options);
+  GatewayFixture fixture(options);
   fixture.store.SetEpoch("1");
   fixture.Publish(Version(fixture, 1));
   fixture.store.SaveCopy();
@@ -179,7 +179,7 @@
 // A version that was in force stays in force while the store has an older one, and requests that
 // it allows are still served.
 BOOST_AUTO_TEST_CASE(NothingGoesBack) {
-  GatewayWorld fixture({});
+  GatewayFixture fixture({});
   fixture.store.SetEpoch("1");
   fixture.Publish(Version(fixture, 1));
   fixture.store.SaveCopy();
@@ -205,9 +205,9 @@
   // With the configuration from peers, the newer version is in force before the store has it
   // again.  Without it, the gateway has no information about that version.
   for (bool from_peers : {false, true}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.mechanisms.config_from_peers = from_peers;
-    GatewayWorld fixture(options);
+    GatewayFixture fixture(options);
     fixture.store.SetEpoch("1");
     fixture.Publish(Version(fixture, 1));
     fixture.store.SaveCopy();
@@ -237,9 +237,9 @@
 // listed again does not undo this.
 BOOST_AUTO_TEST_CASE(AnEngineThatIsKnownToLeaveGetsNothingByAnOlderCopy) {
   for (bool announces : {true, false}) {
-    WorldOptions options;
+    GatewayFixtureOptions options;
     options.engines = 1;
-    GatewayWorld fixture(options);
+    GatewayFixture fixture(options);
     fixture.store.SetEpoch("1");
     fixture.Publish(fixture.DefaultConfig());
     fixture.store.SaveCopy();
@@ -263,9 +263,9 @@
 
 // An engine that was listed in the lost seconds still gets work.
 BOOST_AUTO_TEST_CASE(AnEngineThatTheCopyLacksIsNotGone) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.engines = 1;
-  GatewayWorld fixture(options);
+  GatewayFixture fixture(options);
   fixture.store.SetEpoch("1");
   fixture.Publish(fixture.DefaultConfig());
   EngineStandin& newcomer = *fixture.engines[0];
@@ -288,9 +288,9 @@
 
 // Each gateway writes its own entries of the lost seconds again, exactly once.
 BOOST_AUTO_TEST_CASE(GatewaysWriteTheirOwnEntriesAgainOnce) {
-  WorldOptions options;
+  GatewayFixtureOptions options;
   options.key_trust = milliseconds(600);
-  GatewayWorld fixture(options);
+  GatewayFixture fixture(options);
   fixture.store.SetEpoch("1");
   fixture.Publish(fixture.DefaultConfig());
   fixture.store.SaveCopy();
@@ -350,7 +350,7 @@
   Time last_write_due =
       now + QuarantineStore::kNonWitnessDelay + QuarantineStore::kNonWitnessSpread;
   fixture.watch->TickSlowly(last_write_due + seconds(1));
-  Time deadline = Now() + kTestPatience;
+  Time deadline = Now() + kTestTimeout;
   while (fixture.store.appended(kOwnTopic) == 0 && Now() < deadline) {
     fixture.loop.RunOnce(milliseconds(5));
   }
--- a/src/gateway/testing/suspension_test.cc
+++ b/src/gateway/testing/suspension_test.cc
@@ -16,7 +16,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "absl/strings/match.h"
-#include "gateway/testing/gateway_world.h"
+#include "gateway/testing/gateway_fixture.h"
 
 namespace {
 
@@ -47,7 +47,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(KeysAreNotReliedOnAfterASuspension) {
-  GatewayWorld fixture({.engines = 1, .apps = 1});
+  GatewayFixture fixture({.engines = 1, .apps = 1});
   fixture.Publish(fixture.DefaultConfig());
   fixture.StartGateway();
   BOOST_TEST(fixture.Call(fixture.SafeRequest("before")).head.status == 200);
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -87,7 +87,7 @@
   std::string after = this->pages.empty() ? "" : this->pages.back().key;
   this->call_sent = Now();
   if (after.empty()) this->pages_sent = this->call_sent;
-  this->client.Call(platform::NewestOfEachKey(this->options.topic, after), this->page_timeout,
+  this->client.Call(platform::NewestRecordsRequest(this->options.topic, after), this->page_timeout,
                     [this](const StoreAnswer& answer) { this->OnPage(answer); });
 }
 
@@ -100,7 +100,7 @@
     this->Fail(ReasonOf(answer));
     return;
   }
-  absl::StatusOr<platform::KeyedPage> page = platform::DecodeNewest(answer.body);
+  absl::StatusOr<platform::KeyedPage> page = platform::DecodeKeyedPage(answer.body);
   if (!page.ok()) {
     this->Fail(std::string(page.status().message()));
     return;
@@ -119,7 +119,7 @@
   if (is_first) this->next_offset = page->end;
   this->ReportUnreadable(page->unreadable);
   for (platform::KeyedRecord& record : page->records) this->pages.push_back(std::move(record));
-  if (page->more && !page->records.empty()) {
+  if (page->has_more && !page->records.empty()) {
     this->ReadPage();
     return;
   }
@@ -134,9 +134,10 @@
 
 void TopicFollower::ReadTail(Duration wait, size_t max_kb) {
   this->call_sent = Now();
-  this->client.Call(platform::ReadFrom(this->options.topic, this->next_offset, wait, max_kb),
-                    wait + StoreClient::kAnswerTimeout,
-                    [this](const StoreAnswer& answer) { this->OnTail(answer); });
+  this->client.Call(
+      platform::ReadRecordsRequest(this->options.topic, this->next_offset, wait, max_kb),
+      wait + StoreClient::kAnswerTimeout,
+      [this](const StoreAnswer& answer) { this->OnTail(answer); });
 }
 
 void TopicFollower::OnTail(const StoreAnswer& answer) {
@@ -152,7 +153,7 @@
     this->Fail(ReasonOf(answer));
     return;
   }
-  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeTail(answer.body);
+  absl::StatusOr<platform::KeyedTail> tail = platform::DecodeKeyedTail(answer.body);
   if (!tail.ok()) {
     this->Fail(std::string(tail.status().message()));
     return;
