--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -84,9 +84,9 @@
     // Called with the store's epoch that a peer reports, and whether that peer regards the
     // epoch as settled.
     std::function<void(uint64_t epoch, bool is_settled)> on_store_epoch;
-    // Takes the crash reports that are due to be sent to a few peers; empty if there are none.
+    // Takes the crash gossip that is due to be sent to a few peers; empty if there is none.
     std::function<CrashGossip()> take_gossip;
-    // Called with crash reports from a peer.  Returns what to send to that peer in reply.
+    // Called with crash gossip from a peer.  Returns what to send to that peer in reply.
     std::function<CrashGossip(const std::string& box, const CrashGossip& gossip)> on_gossip;
     // Called with an entry of the peers' topic about a quarantined request content.
     std::function<void(ContentId content, const std::string& value)> quarantine_record;
@@ -105,7 +105,7 @@
   // Sends the loads that have changed since they were last sent.  Called immediately after a
   // dispatch, so that peers take the new work into account.
   void SendLoads(Time now);
-  // Sends pending crash reports, and load changes once per kSendInterval.  Call it often.
+  // Sends pending crash gossip, and load changes once per kSendInterval.  Call it often.
   void Tick(Time now);
 
   // Handles the store's return from an older copy: this gateway's entry is written again if the
--- a/src/gateway/settled_epoch_writer.h
+++ b/src/gateway/settled_epoch_writer.h
@@ -1,4 +1,4 @@
-// Writes to the store which of its epochs is settled (serving/epoch_mark.h).
+// Writes to the store which of its epochs is settled (serving/settled_epoch.h).
 //
 // A starting gateway cannot determine whether the store has just returned from an older copy, so it
 // waits before it accepts keys.  An entry that names the current epoch as settled makes this
