--- a/src/gateway/gateway_server_hooks.cc
+++ b/src/gateway/gateway_server_hooks.cc
@@ -1,4 +1,5 @@
-// How the gateway server's parts are joined: what each of them asks for and tells.
+// Connects the parts of the gateway server: builds the hooks through which they query and
+// notify each other.
 
 #include <utility>
 
@@ -6,7 +7,7 @@
 
 namespace gullward {
 
-// What the followers of both topics have in common: the log.
+// Hooks common to the followers of both topics.  They only write to the log.
 TopicFollower::Hooks GatewayServer::LoggingHooks(const std::string& topic) {
   TopicFollower::Hooks hooks;
   hooks.lost = [this, topic](const std::string& reason) {
@@ -38,13 +39,13 @@
   LoadExchange::Hooks hooks;
   hooks.config_version = [this] { return this->ConfigVersion(); };
   hooks.validated_at = [this] { return this->state.keys.confirmed_at(); };
-  hooks.on_validated = [this](Time proved) { this->state.keys.Confirm(proved); };
+  hooks.on_validated = [this](Time validated_at) { this->state.keys.Confirm(validated_at); };
   hooks.on_newer_version = [this](uint64_t version, const Peer& peer) {
     this->OnNewerVersion(version, peer);
   };
   hooks.engines_copied = [this] { return this->engine_list_copy.copied(); };
-  hooks.on_engines_copied = [this](const CopyVersion& mark) {
-    this->engine_list_copy.OnPeerCopy(mark, Now());
+  hooks.on_engines_copied = [this](const CopyVersion& copy_version) {
+    this->engine_list_copy.OnPeerCopy(copy_version, Now());
   };
   hooks.on_store_epoch = [this](uint64_t epoch, bool is_settled) {
     this->OnPeerEpoch(epoch, is_settled);
@@ -55,8 +56,8 @@
   hooks.engines_read_to = [this] { return this->engine_follower.position().value_or(0); };
   hooks.on_engines_read_to = [this](uint64_t offset) { this->OnPeerEngineListPosition(offset); };
   hooks.take_gossip = [this] { return this->crash_watch.TakeGossip(); };
-  hooks.on_gossip = [this](const std::string& box, const CrashGossip& news) {
-    return this->crash_watch.ReceiveGossip(box, news, Now());
+  hooks.on_gossip = [this](const std::string& box, const CrashGossip& gossip) {
+    return this->crash_watch.ReceiveGossip(box, gossip, Now());
   };
   hooks.quarantine_record = [this](ContentId content, const std::string& value) {
     this->crash_watch.OnRecord(content, value, Now());
@@ -75,7 +76,8 @@
   return options;
 }
 
-// An engine that was leaving, by its own word or the list's, or is off the list has ended by plan.
+// An engine that was announced as leaving, by itself or by the list, or that is no longer
+// listed, has ended by plan and not crashed.
 CrashWatch::Hooks GatewayServer::CrashWatchHooks() {
   CrashWatch::Hooks hooks;
   hooks.was_in_use = [this](const EngineRecord& engine) {
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -1,4 +1,5 @@
-// load_exchange.h tells the method.
+// Implementation of load_exchange.h: registration in the peers' topic, receiving datagrams, and
+// sending them.
 
 #include "gateway/load_exchange.h"
 
@@ -12,15 +13,17 @@
 namespace gullward {
 namespace {
 
-// Peers come and go rarely; the longest wait that the store allows costs least.
+// Peers change rarely, so a read waits as long as the store allows, which costs the fewest
+// calls.
 constexpr Duration kPeersWait = seconds(30);
-// Nothing depends on hearing of a peer at once, and a fleet that starts makes as many entries
-// as it has gateways.
-constexpr Duration kGatherPeers = seconds(2);
-constexpr Duration kRegisterPatience = seconds(1);
-// After the store's return every gateway reads the peers' topic anew and then writes its own
-// entry: so much time for each gateway, and the store has a hundred of each a second.
-constexpr Duration kReturnPauseForPeer = milliseconds(10);
+// A new peer need not be known immediately, and a fleet that starts writes one entry per
+// gateway, so the follower waits this long for more entries after one.
+constexpr Duration kPeersBatchDelay = seconds(2);
+constexpr Duration kRegisterTimeout = seconds(1);
+// After the store's return every gateway reads the peers' topic again and then writes its own
+// entry.  The reads spread over this time per gateway, so the store gets about 100 reads and
+// 100 writes a second.
+constexpr Duration kReturnDelayPerPeer = milliseconds(10);
 
 }  // namespace
 
@@ -38,7 +41,7 @@
       registrar(event_loop, settings.store, &store_recovery->returns()),
       follower(
           event_loop, settings.store, store_recovery,
-          {std::string(platform::kPeersTopic), kPeersWait, kGatherPeers},
+          {std::string(platform::kPeersTopic), kPeersWait, kPeersBatchDelay},
           {.replace =
                [this](const std::vector<platform::KeyedRecord>& records) {
                  this->OnPeerRecords(records);
@@ -70,12 +73,13 @@
 }
 
 Duration LoadExchange::RandomDelayAfterReturn() {
-  double longest = ToSeconds(kReturnPauseForPeer) * static_cast<double>(this->directory.size());
-  std::uniform_real_distribution<double> draw(0, longest);
-  return FromSeconds(draw(this->random));
+  double max_seconds = ToSeconds(kReturnDelayPerPeer) * static_cast<double>(this->directory.size());
+  std::uniform_real_distribution<double> delay_seconds(0, max_seconds);
+  return FromSeconds(delay_seconds(this->random));
 }
 
-// The topic comes into being by the first record, so it may not be there to be read.
+// A read of the topic fails until the first record is written, so a failed read also triggers
+// the registration.
 void LoadExchange::RegisterOnce() {
   if (std::exchange(this->is_registered, true)) return;
   this->Register();
@@ -84,7 +88,7 @@
 void LoadExchange::Register() {
   platform::KeyedRecord record{this->box, this->OwnEntry()};
   this->registrar.Call(platform::AppendRecordRequest(platform::kPeersTopic, record),
-                       kRegisterPatience, [this](const StoreAnswer& answer) {
+                       kRegisterTimeout, [this](const StoreAnswer& answer) {
                          if (answer.ok()) return;
                          this->log->Write(LogLine("register_failed")
                                               .Number("status", answer.status)
@@ -93,14 +97,14 @@
                        });
 }
 
-// A process that starts again where it was finds its entry there.  Writing it once more
-// would cost each of the others a read.
+// Registers this gateway if its entry is missing.  A process that restarts at the same address
+// finds its entry in place; writing it again would cost each peer a read.
 void LoadExchange::OnPeerRecords(const std::vector<platform::KeyedRecord>& records) {
   platform::KeyedRecord own{this->box, this->OwnEntry()};
-  bool is_there = std::find(records.begin(), records.end(), own) != records.end();
+  bool has_own_entry = std::find(records.begin(), records.end(), own) != records.end();
   for (const platform::KeyedRecord& record : records) this->OnPeerRecord(record);
-  if (!is_there) this->RegisterOnce();
-  // Also where there are none: then it is known that this gateway is alone.
+  if (!has_own_entry) this->RegisterOnce();
+  // Set even for an empty list, which shows that this gateway has no peers.
   this->peers_changed = true;
 }
 
@@ -145,22 +149,21 @@
                                  now);
 }
 
-// Offsets and copies of one epoch say nothing in another.
+// Offsets and copy versions are comparable only within one epoch of the store.
 void LoadExchange::OnStoreState(const LoadDigest& digest) {
   if (digest.store_epoch) {
     this->hooks.on_store_epoch(*digest.store_epoch, digest.epoch_is_settled);
   }
   if (digest.store_epoch != this->recovery->returns().epoch().current()) return;
   this->hooks.on_engines_read_to(digest.engines_read_to);
-  if (digest.engines_copied.fingerprint != 0)
-    this->hooks.on_engines_copied(digest.engines_copied);
+  if (digest.engines_copied.fingerprint != 0) this->hooks.on_engines_copied(digest.engines_copied);
 }
 
 void LoadExchange::OnFreshnessNote(const LoadDigest& digest) {
   uint64_t own_version = this->hooks.config_version();
-  std::optional<Time> proved = this->freshness.ReceiveNote(digest.box, digest.incarnation,
-                                                           *digest.freshness, own_version, Now());
-  if (proved) this->hooks.on_validated(*proved);
+  std::optional<Time> validated_at = this->freshness.ReceiveNote(
+      digest.box, digest.incarnation, *digest.freshness, own_version, Now());
+  if (validated_at) this->hooks.on_validated(*validated_at);
   if (digest.freshness->config_version <= own_version) return;
   const Peer* peer = this->directory.Find(digest.box);
   this->hooks.on_newer_version(digest.freshness->config_version,
@@ -174,19 +177,19 @@
   if (peer != nullptr) this->SendGossip(*peer, std::move(reply), Now());
 }
 
-// One part at a time, to a few: what waits goes with the next ticks.
+// Sends one batch per tick to kFanout random peers; the rest stays queued for later ticks.
 void LoadExchange::SendPendingGossip(Time now) {
-  CrashGossip news = this->hooks.take_gossip();
-  if (news.empty()) return;
+  CrashGossip gossip = this->hooks.take_gossip();
+  if (gossip.empty()) return;
   for (const Peer* peer : this->directory.Sample(CrashGossipQueue::kFanout, &this->random)) {
-    this->SendGossip(*peer, news, now);
+    this->SendGossip(*peer, gossip, now);
   }
 }
 
-void LoadExchange::SendGossip(const Peer& peer, CrashGossip news, Time now) {
+void LoadExchange::SendGossip(const Peer& peer, CrashGossip gossip, Time now) {
   LoadDigest digest = this->NewDigest(now);
   digest.sequence = ++this->sequence;
-  digest.crash_gossip = std::move(news);
+  digest.crash_gossip = std::move(gossip);
   this->Send(peer, EncodeDigest(digest));
 }
 
@@ -226,17 +229,17 @@
   this->SendToCells(this->TakeUnsent(refresh, now), now);
 }
 
-// The loads that the others must hear of now, or all of them; they count as told.
+// Returns the loads to send: the changed ones, or all of them.  Marks them as sent.
 std::map<std::string, EngineLoad> LoadExchange::TakeUnsent(bool all, Time now) {
   std::map<std::string, EngineLoad> own = this->fleet->loads().OwnLoads(now);
-  // What was told and is no more is told once as zero.
+  // A load that was sent and has ended is sent once more, as zero.
   for (const auto& [engine, load] : this->sent_loads) own.try_emplace(engine);
   std::map<std::string, EngineLoad> unsent;
   bool count_reading = this->fleet->mechanisms().tell_reading;
   for (const auto& [engine, load] : own) {
     auto before = this->sent_loads.find(engine);
-    bool is_new =
-        before == this->sent_loads.end() || IsSignificantChange(before->second, load, count_reading);
+    bool is_new = before == this->sent_loads.end() ||
+                  IsSignificantChange(before->second, load, count_reading);
     if (!is_new && !all) continue;
     unsent[engine] = load;
     if (load.requests == 0 && load.reading_ms == 0) {
@@ -257,7 +260,7 @@
   return neighbours;
 }
 
-// Nobody where the engine is no longer listed: nobody chooses it then.
+// Returns no gateways for an engine that is no longer listed, since no gateway chooses it.
 std::vector<const Peer*> LoadExchange::GatewaysOfEngine(const std::string& engine, Time now) {
   const EngineRecord* record = this->fleet->directory().FindIncarnation(engine);
   if (record == nullptr) return {};
@@ -267,7 +270,8 @@
                                          plan.revision());
 }
 
-// To the members of each engine's cell; engines with the same ones share datagrams.
+// Sends each load to the members of the engine's cell.  Engines with the same members share
+// datagrams.
 void LoadExchange::SendToCells(const std::map<std::string, EngineLoad>& loads, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, EngineLoad>> by_members;
   for (const auto& [engine, load] : loads) {
@@ -276,7 +280,7 @@
   for (auto& [members, part] : by_members) this->SendInParts(std::move(part), members, now);
 }
 
-// Datagrams are small: a long list takes several.
+// Sends a long list in several datagrams, since each holds at most kEntriesPerDatagram loads.
 void LoadExchange::SendInParts(std::map<std::string, EngineLoad> loads,
                                const std::vector<const Peer*>& to, Time now) {
   if (loads.empty() || to.empty()) return;
@@ -296,8 +300,8 @@
   if (!this->fleet->mechanisms().spill) return;
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.ForService(plan.main_service());
-  std::vector<const Peer*> receivers =
-      this->directory.SampleOutside(main.cells, main.home, Spill::kReceiversPerRound, &this->random);
+  std::vector<const Peer*> receivers = this->directory.SampleOutside(
+      main.cells, main.home, Spill::kReceiversPerRound, &this->random);
   if (receivers.empty()) return;
   LoadDigest digest = this->NewDigest(now);
   digest.is_offer = true;
@@ -307,19 +311,19 @@
   for (const Peer* peer : receivers) this->Send(*peer, datagram);
 }
 
-// Changes at once, all that still holds in each round.
+// Sends changed notices, or in a refresh round all notices that still hold.
 void LoadExchange::SendNotices(bool all, Time now) {
   std::map<std::vector<const Peer*>, std::map<std::string, NoticeReport>> by_members;
-  for (const auto& [engine, word] : this->fleet->NoticesToSend(all, now)) {
-    by_members[this->GatewaysOfEngine(engine, now)][engine] = word;
+  for (const auto& [engine, report] : this->fleet->NoticesToSend(all, now)) {
+    by_members[this->GatewaysOfEngine(engine, now)][engine] = report;
   }
-  for (auto& [members, words] : by_members) {
+  for (auto& [members, reports] : by_members) {
     LoadDigest digest = this->NewDigest(now);
-    while (!words.empty()) {
+    while (!reports.empty()) {
       digest.sequence = ++this->sequence;
       digest.notices.clear();
-      while (!words.empty() && digest.notices.size() < kEntriesPerDatagram) {
-        digest.notices.insert(words.extract(words.begin()));
+      while (!reports.empty() && digest.notices.size() < kEntriesPerDatagram) {
+        digest.notices.insert(reports.extract(reports.begin()));
       }
       std::string datagram = EncodeDigest(digest);
       for (const Peer* peer : members) this->Send(*peer, datagram);
@@ -328,19 +332,20 @@
 }
 
 void LoadExchange::OnNotices(const LoadDigest& digest, Time now) {
-  for (const auto& [engine, word] : digest.notices) {
-    EngineNotices::Change change = this->fleet->notices().ReceiveReport(engine, word, now);
+  for (const auto& [engine, report] : digest.notices) {
+    EngineNotices::Change change = this->fleet->notices().ReceiveReport(engine, report, now);
     if (!change.any()) continue;
     LogLine line("engine_notice");
     line.Text("engine", engine).Text("told_by", digest.box);
-    if (change.limit && word.limit->per_s) line.Number("limit_per_s", *word.limit->per_s);
-    if (change.limit && !word.limit->per_s) line.Number("limit_lifted", 1);
+    if (change.limit && report.limit->per_s) line.Number("limit_per_s", *report.limit->per_s);
+    if (change.limit && !report.limit->per_s) line.Number("limit_lifted", 1);
     if (change.leaving) line.Number("leaving", 1);
     this->log->Write(line);
   }
 }
 
-// The members of the home cell tell each other something in every round.
+// Members of the home cell send each other a datagram in every round, so a silent member has
+// failed or is unreachable.
 void LoadExchange::UpdateSilentPeers(Time now) {
   const WorkPlan& plan = this->fleet->plan(now);
   const ServicePlan& main = plan.ForService(plan.main_service());
@@ -358,7 +363,8 @@
   this->socket.Send(peer.address, datagram);
 }
 
-// What all datagrams of a round have in common; each takes a sequence of its own.
+// Returns a datagram with the fields that all datagrams of a round share.  The caller sets the
+// sequence number.
 LoadDigest LoadExchange::NewDigest(Time now) {
   LoadDigest digest;
   digest.box = this->box;
