--- a/src/claims/claimer.h
+++ b/src/claims/claimer.h
@@ -42,9 +42,9 @@
   Duration retry_period = seconds(2);
   // Time after which a claim without an outcome ends as kUnavailable.
   Duration timeout = seconds(5);
-  // Records in one append.
+  // Upper bound of the records in one append.
   size_t max_batch = 512;
-  // Claims without an outcome; further claims are refused at once.
+  // Upper bound of the claims without an outcome; further claims are refused at once.
   size_t max_waiting = 10'000;
   ClaimTableOptions table;
 };
