--- a/src/gateway/answer_times.cc
+++ b/src/gateway/answer_times.cc
@@ -20,8 +20,8 @@
   return route.streaming ? this->first_event_after : now - this->arrived;
 }
 
-void AnswerTimes::Count(const Route& route, double prompt_tokens, Duration first,
-                        GatewayCounters* counters) const {
+void AnswerTimes::AddToHistograms(const Route& route, double prompt_tokens, Duration first,
+                                  GatewayCounters* counters) const {
   if (route.streaming) {
     const char* length = PromptLengthLabel(prompt_tokens);
     counters->first_event[length].Add(first);
@@ -37,7 +37,7 @@
   return first > route.objective || paused;
 }
 
-void AnswerTimes::Describe(const Route& route, Duration first, LogLine* line) const {
+void AnswerTimes::AddToLine(const Route& route, Duration first, LogLine* line) const {
   line->Number("first_ms", ToSeconds(first) * 1000)
       .Number("objective_ms", ToSeconds(route.objective) * 1000)
       .Number("pause_ms", ToSeconds(this->longest_pause) * 1000)
--- a/src/gateway/answer_times.h
+++ b/src/gateway/answer_times.h
@@ -4,8 +4,8 @@
 //   AnswerTimes times(request.arrived);
 //   times.NoteEvent(now);                          // for each read that holds whole events
 //   Duration first = times.FirstAfter(route, now);  // at the answer's end
-//   times.Count(route, prompt_tokens, first, &counters);
-//   if (times.IsLate(route, first)) times.Describe(route, first, &line);
+//   times.AddToHistograms(route, prompt_tokens, first, &counters);
+//   if (times.IsLate(route, first)) times.AddToLine(route, first, &line);
 
 #ifndef GULLWARD_GATEWAY_ANSWER_TIMES_H_
 #define GULLWARD_GATEWAY_ANSWER_TIMES_H_
@@ -28,15 +28,15 @@
   Duration FirstAfter(const Route& route, Time now) const;
 
   // Adds a successful answer to the histograms.
-  void Count(const Route& route, double prompt_tokens, Duration first,
-             GatewayCounters* counters) const;
+  void AddToHistograms(const Route& route, double prompt_tokens, Duration first,
+                       GatewayCounters* counters) const;
 
   // Whether the first event (or the whole answer) missed the route's objective, or a pause
   // between two events of a stream was longer than the route aims at.
   bool IsLate(const Route& route, Duration first) const;
 
   // Adds the times and the aims to a log line, in milliseconds.
-  void Describe(const Route& route, Duration first, LogLine* line) const;
+  void AddToLine(const Route& route, Duration first, LogLine* line) const;
 
   bool operator==(const AnswerTimes&) const = default;
 
--- a/src/gateway/caller_channel.cc
+++ b/src/gateway/caller_channel.cc
@@ -49,7 +49,7 @@
              {caller_limits.head_bytes, caller_limits.body_bytes}) {}
 
 void CallerChannel::OnData(std::string_view bytes) {
-  std::shared_ptr<CallerChannel> keep = this->shared_from_this();
+  std::shared_ptr<CallerChannel> self = this->shared_from_this();
   this->last_bytes = Now();
   if (this->phase == Phase::kIdle) {
     this->phase = Phase::kReading;
--- a/src/gateway/engine_pool.cc
+++ b/src/gateway/engine_pool.cc
@@ -9,10 +9,10 @@
 namespace gullward {
 
 std::shared_ptr<RequestChannel> EnginePool::Take(const EngineRecord& engine, Time now, bool fresh) {
-  std::vector<Idle>& waiting = this->idle[engine.Incarnation()];
-  while (!fresh && !waiting.empty()) {
-    Idle last = std::move(waiting.back());
-    waiting.pop_back();
+  std::vector<Idle>& idle_channels = this->idle[engine.Incarnation()];
+  while (!fresh && !idle_channels.empty()) {
+    Idle last = std::move(idle_channels.back());
+    idle_channels.pop_back();
     if (last.channel->reusable() && last.until > now) return last.channel;
     last.channel->Close();
   }
@@ -22,25 +22,27 @@
 
 void EnginePool::Give(const EngineRecord& engine, const std::shared_ptr<RequestChannel>& channel,
                       Time now) {
-  std::vector<Idle>& waiting = this->idle[engine.Incarnation()];
+  std::vector<Idle>& idle_channels = this->idle[engine.Incarnation()];
   Duration keep =
       channel->keep_alive().value_or(kDefaultKeepAlive + kKeepAliveMargin) - kKeepAliveMargin;
-  bool is_kept = channel->reusable() && keep.count() > 0 && waiting.size() < kMaxIdlePerEngine;
+  bool is_kept =
+      channel->reusable() && keep.count() > 0 && idle_channels.size() < kMaxIdlePerEngine;
   if (!is_kept) {
     channel->Close();
     return;
   }
-  waiting.push_back({channel, now + keep});
+  idle_channels.push_back({channel, now + keep});
 }
 
 void EnginePool::Tick(Time now) {
   for (auto it = this->idle.begin(); it != this->idle.end();) {
-    std::vector<Idle>& waiting = it->second;
+    std::vector<Idle>& idle_channels = it->second;
     auto has_expired = [now](const Idle& entry) {
       return !entry.channel->reusable() || entry.until <= now;
     };
-    waiting.erase(std::remove_if(waiting.begin(), waiting.end(), has_expired), waiting.end());
-    it = waiting.empty() ? this->idle.erase(it) : std::next(it);
+    idle_channels.erase(std::remove_if(idle_channels.begin(), idle_channels.end(), has_expired),
+                        idle_channels.end());
+    it = idle_channels.empty() ? this->idle.erase(it) : std::next(it);
   }
 }
 
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -425,10 +425,10 @@
   Time now = Now();
   Fleet& fleet = this->state->fleet;
   bool held_back = fleet.AllHoldBack(*this->service, now);
-  std::optional<Duration> opens;
-  if (held_back) opens = fleet.OpensIn(*this->service, now);
+  std::optional<Duration> retry_after;
+  if (held_back) retry_after = fleet.OpensIn(*this->service, now);
   ResultCode code_if_unsent = held_back ? ResultCode::kEnginesHoldBack : ResultCode::kNoEndpoint;
-  this->Refuse(this->attempts == 0 ? code_if_unsent : ResultCode::kEnginesRefused, opens);
+  this->Refuse(this->attempts == 0 ? code_if_unsent : ResultCode::kEnginesRefused, retry_after);
 }
 
 void Exchange::DeliverWhole() {
@@ -447,10 +447,10 @@
 }
 
 // Answers with a failure of the gateway's own.
-void Exchange::Refuse(ResultCode code, std::optional<Duration> come_back) {
+void Exchange::Refuse(ResultCode code, std::optional<Duration> retry_after) {
   this->state->counters.failures[code] += 1;
   this->LogFailure(code);
-  AnswerHead head = FailureHead(code, this->facts.attempt_id, this->admission.route, come_back);
+  AnswerHead head = FailureHead(code, this->facts.attempt_id, this->admission.route, retry_after);
   std::shared_ptr<CallerChannel> channel = this->caller;
   this->Finish();
   channel->Answer(head, FailureBody(code));
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -118,7 +118,7 @@
   AnswerHead TakeAnswerHead();
   void DeliverWhole();
   void RefuseUnsent();
-  void Refuse(ResultCode code, std::optional<Duration> come_back = std::nullopt);
+  void Refuse(ResultCode code, std::optional<Duration> retry_after = std::nullopt);
   void LogFailure(ResultCode code);
   void GiveUp();
   void CancelAttempt();
@@ -126,7 +126,7 @@
   double ExpectedSilenceMs() const;
   Duration AttemptSilenceTimeout() const;
   bool IsTooSilent(Time now) const;
-  bool MayTryAnother(Time now) const;
+  bool MayTryAnotherEngine(Time now) const;
   void LeaveSilentEngine(Time now);
   bool ShouldWithdraw(Time now) const;
   void Withdraw(Time now);
--- a/src/gateway/exchange_log.cc
+++ b/src/gateway/exchange_log.cc
@@ -76,7 +76,7 @@
 void Exchange::LogAnswered() {
   const Route& route = *this->admission.route;
   Duration first = this->times.FirstAfter(route, Now());
-  this->times.Count(route, this->facts.prompt_tokens, first, &this->state->counters);
+  this->times.AddToHistograms(route, this->facts.prompt_tokens, first, &this->state->counters);
   bool late = this->times.IsLate(route, first);
   if (!late && !this->state->log->Sample()) return;
   LogLine line = this->Line(late ? "answered_late" : "answered");
@@ -85,7 +85,7 @@
       .Number("attempts", this->attempts)
       .Number("prompt_tokens", this->facts.prompt_tokens)
       .Number("expected_first_ms", this->attempt->expected_first_ms);
-  this->times.Describe(route, first, &line);
+  this->times.AddToLine(route, first, &line);
   this->state->log->Write(line);
 }
 
--- a/src/gateway/exchange_timeouts.cc
+++ b/src/gateway/exchange_timeouts.cc
@@ -34,7 +34,7 @@
     return;
   }
   if (!this->state->fleet.mechanisms().leave_silent_engines) return;
-  if (this->IsTooSilent(now) && this->MayTryAnother(now)) this->LeaveSilentEngine(now);
+  if (this->IsTooSilent(now) && this->MayTryAnotherEngine(now)) this->LeaveSilentEngine(now);
 }
 
 Duration Exchange::AttemptSilenceTimeout() const {
@@ -55,7 +55,7 @@
 
 // Whether the request could be sent again if the attempt under way ended now, assuming that the
 // engine may have run it.
-bool Exchange::MayTryAnother(Time now) const {
+bool Exchange::MayTryAnotherEngine(Time now) const {
   if (this->state->fleet.AllHoldBack(*this->service, now)) return false;
   RequestState decision = this->StateForDecision(now);
   decision.attempts_run += 1;
--- a/src/gateway/failure_answer.cc
+++ b/src/gateway/failure_answer.cc
@@ -17,8 +17,8 @@
 // The share of the route's objective after which a refused caller should try again.
 constexpr double kRetryAfterShare = 0.3;
 
-double RetryAfterSeconds(const Route* route, std::optional<Duration> come_back) {
-  if (come_back) return std::max(kMinRetryAfterSeconds, ToSeconds(*come_back));
+double RetryAfterSeconds(const Route* route, std::optional<Duration> retry_after) {
+  if (retry_after) return std::max(kMinRetryAfterSeconds, ToSeconds(*retry_after));
   if (route == nullptr) return kMinRetryAfterSeconds;
   return std::max(kMinRetryAfterSeconds, kRetryAfterShare * ToSeconds(route->objective));
 }
@@ -26,7 +26,7 @@
 }  // namespace
 
 AnswerHead FailureHead(ResultCode code, const std::string& attempt_id, const Route* route,
-                       std::optional<Duration> come_back) {
+                       std::optional<Duration> retry_after) {
   const ResultCodeInfo& info = Info(code);
   AnswerHead head;
   head.status = info.http_status;
@@ -36,7 +36,7 @@
   bool is_temporary = info.http_status == 503 || info.http_status == 429;
   if (is_temporary) {
     head.headers.emplace_back(platform::kRetryAfter,
-                              absl::StrCat(RetryAfterSeconds(route, come_back)));
+                              absl::StrCat(RetryAfterSeconds(route, retry_after)));
   }
   return head;
 }
--- a/src/gateway/failure_answer.h
+++ b/src/gateway/failure_answer.h
@@ -17,12 +17,12 @@
 namespace gullward {
 
 // Returns the status and the header fields of the answer.  For statuses 429 and 503 the fields
-// say after how many seconds to try again.  That is `come_back` if it is set, for a reason whose
+// say after how many seconds to try again.  That is `retry_after` if it is set, for a reason whose
 // end is known; otherwise it is a share of the route's objective, so that the answer may still
 // be in time.  It is never too short for engines to make progress.  `attempt_id` may be empty;
 // `route` is null if no route was found.
 AnswerHead FailureHead(ResultCode code, const std::string& attempt_id, const Route* route,
-                       std::optional<Duration> come_back = std::nullopt);
+                       std::optional<Duration> retry_after = std::nullopt);
 
 // Returns the code's row of the table of result codes as JSON.
 std::string FailureBody(ResultCode code);
--- a/src/gateway/testing/engine_leaving_test.cc
+++ b/src/gateway/testing/engine_leaving_test.cc
@@ -46,17 +46,17 @@
 }
 
 // Returns the engine that a gateway without load chooses first for a short request.
-EngineStandin& FirstInOrder(GatewayFixture* fixture) {
+EngineStandin& FirstChosenEngine(GatewayFixture* fixture) {
   BOOST_REQUIRE(fixture->Call(fixture->StreamRequest("first")).head.status == 200);
   auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
   return **std::find_if(fixture->engines.begin(), fixture->engines.end(), has_seen);
 }
 
 // Makes the engine state its leaving in an answer through the first gateway.
-void LetReport(GatewayFixture* fixture, EngineStandin* engine) {
+void ReportLeaving(GatewayFixture* fixture, EngineStandin* engine) {
   engine->Say(kLeaving);
   size_t before = engine->seen().size();
-  BOOST_REQUIRE(fixture->Call(fixture->StreamRequest("told")).head.status == 200);
+  BOOST_REQUIRE(fixture->Call(fixture->StreamRequest("notice")).head.status == 200);
   BOOST_REQUIRE(engine->seen().size() == before + 1);
 }
 
@@ -67,8 +67,8 @@
 
 BOOST_AUTO_TEST_CASE(ALeavingEngineGetsNoMoreRequests) {
   auto fixture = StartedFixture({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(fixture.get());
-  LetReport(fixture.get(), &leaving);
+  EngineStandin& leaving = FirstChosenEngine(fixture.get());
+  ReportLeaving(fixture.get(), &leaving);
   size_t seen_before = leaving.seen().size();
   BOOST_TEST(AllServed(SendMany(fixture.get(), 20, "more")));
   BOOST_TEST(leaving.seen().size() == seen_before);
@@ -78,8 +78,8 @@
 // old.
 BOOST_AUTO_TEST_CASE(NoEntryOfTheListEndsALeaving) {
   auto fixture = StartedFixture({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(fixture.get());
-  LetReport(fixture.get(), &leaving);
+  EngineStandin& leaving = FirstChosenEngine(fixture.get());
+  ReportLeaving(fixture.get(), &leaving);
   size_t seen_before = leaving.seen().size();
   size_t usable = fixture->gateway->UsableEngines();
   fixture->store.Remove("keyed.servers", leaving.id());
@@ -93,7 +93,7 @@
 // The same holds for a leaving that the engine list has announced.
 BOOST_AUTO_TEST_CASE(NoEntryOfTheListEndsAnAnnouncedLeaving) {
   auto fixture = StartedFixture({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(fixture.get());
+  EngineStandin& leaving = FirstChosenEngine(fixture.get());
   size_t usable = fixture->gateway->UsableEngines();
   auto is_unusable = [&] { return fixture->gateway->UsableEngines() == usable - 1; };
   fixture->ListEngine(leaving, "models", /*draining=*/true);
@@ -113,8 +113,8 @@
 
 BOOST_AUTO_TEST_CASE(ALeavingEngineGetsNoRetries) {
   auto fixture = StartedFixture({.engines = 2});
-  EngineStandin& leaving = FirstInOrder(fixture.get());
-  LetReport(fixture.get(), &leaving);
+  EngineStandin& leaving = FirstChosenEngine(fixture.get());
+  ReportLeaving(fixture.get(), &leaving);
   size_t seen_before = leaving.seen().size();
   for (const auto& engine : fixture->engines) {
     if (engine.get() != &leaving) engine->FailAll(EngineFault::kNotRun);
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(CallersAreRefusedAtOnceIfAllEnginesLeave) {
   auto fixture = StartedFixture({.engines = 1});
-  LetReport(fixture.get(), fixture->engines[0].get());
+  ReportLeaving(fixture.get(), fixture->engines[0].get());
   Reply refused = fixture->Call(fixture->StreamRequest("late"));
   BOOST_TEST(refused.head.status == 503);
   BOOST_TEST(absl::StrContains(refused.body, "\"code\":2017"));
@@ -139,8 +139,8 @@
   auto fixture = StartedFixture({.engines = 3});
   for (const auto& engine : fixture->engines) engine->Say(kLeaving);
   // Each request reaches an engine whose leaving is not known yet.
-  for (int i = 0; i < 3; ++i) fixture->Call(fixture->StreamRequest(absl::StrCat("told-", i)));
-  std::string request = fixture->StreamRequest("vast");
+  for (int i = 0; i < 3; ++i) fixture->Call(fixture->StreamRequest(absl::StrCat("notice-", i)));
+  std::string request = fixture->StreamRequest("very-long");
   request.replace(request.find("1000,80"), 7, "200000,80");
   fixture->Call(request);
   for (const auto& engine : fixture->engines) {
@@ -152,8 +152,8 @@
 
 BOOST_AUTO_TEST_CASE(TheOtherGatewaysLearnOfALeaving) {
   auto fixture = StartedFixture({.engines = 2}, /*gateways=*/2);
-  EngineStandin& leaving = FirstInOrder(fixture.get());
-  LetReport(fixture.get(), &leaving);
+  EngineStandin& leaving = FirstChosenEngine(fixture.get());
+  ReportLeaving(fixture.get(), &leaving);
   size_t seen_before = leaving.seen().size();
   BOOST_REQUIRE(
       fixture->RunUntil([&] { return fixture->more_gateways[0]->engines_leaving() == 1; }));
@@ -177,10 +177,10 @@
   BOOST_REQUIRE(fixture->RunUntil([&] { return runs_on() != nullptr && !running->body.empty(); }));
   EngineStandin& leaving = *runs_on();
   leaving.Say(kLeaving);
-  auto told = fixture->Send(fixture->StreamRequest("told"));
+  auto with_notice = fixture->Send(fixture->StreamRequest("notice"));
   BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->engines_leaving() == 1; }));
   leaving.End();
-  BOOST_REQUIRE(fixture->RunUntil([&] { return running->done && told->done; }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return running->done && with_notice->done; }));
   BOOST_TEST(running->whole());
   BOOST_TEST(fixture->gateway->suspects() == 0u);
 }
--- a/src/gateway/testing/engine_limit_test.cc
+++ b/src/gateway/testing/engine_limit_test.cc
@@ -46,10 +46,10 @@
 }
 
 // Makes each gateway receive an answer of the only engine, and with it the engine's notice.
-void LetReportToAll(GatewayFixture* fixture) {
+void ReportToAllGateways(GatewayFixture* fixture) {
   for (size_t gateway = 0; gateway <= fixture->more_gateways.size(); ++gateway) {
     BOOST_REQUIRE(fixture->RunUntil([&] {
-      std::string request = fixture->StreamRequest(absl::StrCat("told-", gateway));
+      std::string request = fixture->StreamRequest(absl::StrCat("notice-", gateway));
       return fixture->Call(request, gateway).head.status == 200;
     }));
   }
@@ -58,14 +58,14 @@
 // The maximum of requests that reached the engine within any window of kWindow, from the request
 // with index `first` on.
 size_t MaxInWindow(const EngineStandin& engine, size_t first) {
-  size_t most = 0;
+  size_t max_count = 0;
   const std::vector<EngineStandin::Seen>& seen = engine.seen();
   for (size_t begin = first; begin < seen.size(); ++begin) {
     size_t end = begin;
     while (end < seen.size() && seen[end].at - seen[begin].at < kWindow) ++end;
-    most = std::max(most, end - begin);
+    max_count = std::max(max_count, end - begin);
   }
-  return most;
+  return max_count;
 }
 
 // The engines that requests so far have named as readers.
@@ -96,10 +96,10 @@
 
 BOOST_AUTO_TEST_CASE(OneGatewayKeepsALimit) {
   auto fixture = StartedFixture(/*engines=*/1, /*gateways=*/1);
-  LetReportToAll(fixture.get());
+  ReportToAllGateways(fixture.get());
   EngineStandin& engine = *fixture->engines[0];
   engine.Say({.limit_per_s = kLimit});
-  LetReportToAll(fixture.get());
+  ReportToAllGateways(fixture.get());
   size_t first = engine.seen().size();
   auto replies = SendMany(fixture.get(), 60, "more");
   BOOST_TEST(MaxInWindow(engine, first) <= kMaxInWindow);
@@ -113,7 +113,7 @@
   auto fixture = StartedFixture(/*engines=*/1, /*gateways=*/5);
   EngineStandin& engine = *fixture->engines[0];
   engine.Say({.limit_per_s = kLimit});
-  LetReportToAll(fixture.get());
+  ReportToAllGateways(fixture.get());
   size_t first = engine.seen().size();
   SendMany(fixture.get(), 60, "more");
   BOOST_TEST(MaxInWindow(engine, first) <= kMaxInWindow);
@@ -125,7 +125,7 @@
   EngineStandin& limited = *fixture->engines[0];
   limited.Say({.limit_per_s = kLimit});
   fixture->engines[1]->FailAll(EngineFault::kNotRun);
-  SendMany(fixture.get(), 2, "told");
+  SendMany(fixture.get(), 2, "notice");
   BOOST_REQUIRE(!limited.seen().empty());
   size_t first = limited.seen().size();
   SendMany(fixture.get(), 60, "more");
@@ -135,23 +135,25 @@
 // An engine that states a limit has not agreed to read parts of prompts for other engines.
 BOOST_AUTO_TEST_CASE(AnEngineWithALimitIsNoReader) {
   auto fixture = StartedFixture(/*engines=*/3, /*gateways=*/1);
-  BOOST_REQUIRE(fixture->Call(VeryLongRequest(*fixture, "vast")).head.status == 200);
+  BOOST_REQUIRE(fixture->Call(VeryLongRequest(*fixture, "very-long")).head.status == 200);
   BOOST_REQUIRE(!Readers(*fixture).empty());
   for (const auto& engine : fixture->engines) engine->Say({.limit_per_s = kLimit});
   // Enough requests at once for each engine to get one and to state its limit in the answer.
-  std::vector<std::shared_ptr<Reply>> told;
+  std::vector<std::shared_ptr<Reply>> with_notice;
   for (int i = 0; i < 40; ++i) {
-    told.push_back(fixture->Send(fixture->StreamRequest(absl::StrCat("told-", i))));
+    with_notice.push_back(fixture->Send(fixture->StreamRequest(absl::StrCat("notice-", i))));
   }
   BOOST_REQUIRE(fixture->RunUntil([&] {
-    return std::all_of(told.begin(), told.end(), [](const auto& one) { return one->done; });
+    return std::all_of(with_notice.begin(), with_notice.end(),
+                       [](const auto& one) { return one->done; });
   }));
   for (const auto& engine : fixture->engines) BOOST_REQUIRE(!engine->seen().empty());
-  for (int i = 0; i < 6; ++i) fixture->Call(VeryLongRequest(*fixture, absl::StrCat("vaster-", i)));
+  for (int i = 0; i < 6; ++i)
+    fixture->Call(VeryLongRequest(*fixture, absl::StrCat("later-long-", i)));
   for (const auto& engine : fixture->engines) {
     for (const EngineStandin::Seen& seen : engine->seen()) {
       std::string id(FindHeader(seen.request.head.headers, platform::kAttemptId).value_or(""));
-      bool is_later = absl::StartsWith(id, "vaster");
+      bool is_later = absl::StartsWith(id, "later-long");
       BOOST_TEST((!is_later || !FindHeader(seen.request.head.headers, platform::kReaders)), id);
     }
   }
--- a/src/gateway/testing/engine_rest_test.cc
+++ b/src/gateway/testing/engine_rest_test.cc
@@ -42,7 +42,7 @@
 }
 
 // Returns the engine of the plain service that a gateway without load chooses first.
-EngineStandin& FirstInOrder(GatewayFixture* fixture) {
+EngineStandin& FirstChosenEngine(GatewayFixture* fixture) {
   BOOST_REQUIRE(fixture->Call(fixture->SafeRequest("first")).head.status == 200);
   auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
   return **std::find_if(fixture->apps.begin(), fixture->apps.end(), has_seen);
@@ -56,7 +56,7 @@
 Time AskForRest(GatewayFixture* fixture, EngineStandin* engine) {
   engine->Say({.rest = kRest});
   size_t before = engine->seen().size();
-  fixture->Call(fixture->SafeRequest("asks"));
+  fixture->Call(fixture->SafeRequest("rest"));
   BOOST_REQUIRE(engine->seen().size() > before);
   engine->Say({});
   return engine->seen().back().at + kRest;
@@ -71,10 +71,10 @@
 // Whether the request was refused with a time to try again that lies within the rest.
 bool IsRefusedForTheRest(const Reply& reply) {
   std::string text(FindHeader(reply.head.headers, platform::kRetryAfter).value_or(""));
-  double come_back = 0;
-  bool says_when = absl::SimpleAtod(text, &come_back);
+  double retry_after = 0;
+  bool says_when = absl::SimpleAtod(text, &retry_after);
   return reply.head.status == 503 && absl::StrContains(reply.body, "\"code\":2017") && says_when &&
-         come_back >= 0.3 && come_back <= ToSeconds(kRest);
+         retry_after >= 0.3 && retry_after <= ToSeconds(kRest);
 }
 
 BOOST_AUTO_TEST_CASE(AnEngineGetsNothingDuringItsRest) {
@@ -82,7 +82,7 @@
   EngineStandin& engine = *fixture->apps[0];
   Time rest_ends = AskForRest(fixture.get(), &engine);
   size_t asked = engine.seen().size();
-  auto refused = SendMany(fixture.get(), 10, "meanwhile");
+  auto refused = SendMany(fixture.get(), 10, "during-rest");
   BOOST_REQUIRE(Now() < rest_ends);
   BOOST_TEST(engine.seen().size() == asked);
   for (const auto& reply : refused) BOOST_TEST(IsRefusedForTheRest(*reply));
@@ -94,11 +94,11 @@
 // This holds even if the resting engine is the only one that is left.
 BOOST_AUTO_TEST_CASE(ARestingEngineGetsNoRetries) {
   auto fixture = StartedFixture(/*apps=*/2);
-  EngineStandin& resting = FirstInOrder(fixture.get());
+  EngineStandin& resting = FirstChosenEngine(fixture.get());
   Time rest_ends = AskForRest(fixture.get(), &resting);
   size_t asked = resting.seen().size();
   Other(fixture.get(), resting).FailAll(EngineFault::kNotRun);
-  SendMany(fixture.get(), 10, "meanwhile");
+  SendMany(fixture.get(), 10, "during-rest");
   BOOST_REQUIRE(Now() < rest_ends);
   BOOST_TEST(resting.seen().size() == asked);
 }
@@ -106,7 +106,7 @@
 // The failure that an engine has answered is forwarded and not replaced by a refusal.
 BOOST_AUTO_TEST_CASE(AFailureOfTheOnlyOtherEngineIsForwarded) {
   auto fixture = StartedFixture(/*apps=*/2);
-  EngineStandin& resting = FirstInOrder(fixture.get());
+  EngineStandin& resting = FirstChosenEngine(fixture.get());
   Time rest_ends = AskForRest(fixture.get(), &resting);
   Other(fixture.get(), resting).FailAll(EngineFault::kFailed);
   Reply reply = fixture->Call(fixture->SafeRequest("fails"));
@@ -124,7 +124,7 @@
   auto fixture = std::make_unique<GatewayFixture>(options);
   fixture->Publish(fixture->DefaultConfig());
   fixture->StartGateway();
-  std::string very_long = fixture->StreamRequest("vast");
+  std::string very_long = fixture->StreamRequest("very-long");
   very_long.replace(very_long.find("1000,80"), 7, "400000,80");
   auto running = fixture->Send(very_long);
   auto holder = [&]() -> EngineStandin* {
@@ -139,7 +139,7 @@
   BOOST_REQUIRE(fixture->RunUntil([&] { return !main.seen().empty(); }));
   main.FailAll(EngineFault::kNotRun);
   resting.Say({.rest = kRest});
-  fixture->Call(fixture->StreamRequest("asks"));
+  fixture->Call(fixture->StreamRequest("rest"));
   BOOST_REQUIRE(!resting.seen().empty());
   Time asked = resting.seen().back().at;
   BOOST_REQUIRE(fixture->RunUntil([&] { return running->done; }));
--- a/src/gateway/testing/engine_restart_test.cc
+++ b/src/gateway/testing/engine_restart_test.cc
@@ -104,7 +104,7 @@
   options.engine.events = 10;
   options.engine.event_every = milliseconds(450);
   auto fixture = StartedFixture(options);
-  std::string request = fixture->StreamRequest("vast");
+  std::string request = fixture->StreamRequest("very-long");
   request.replace(request.find("1000,80"), 7, "400000,800");
   std::shared_ptr<Reply> reply = fixture->Send(request);
   EngineStandin* helper = nullptr;
--- a/src/gateway/testing/gateway_test.cc
+++ b/src/gateway/testing/gateway_test.cc
@@ -206,7 +206,7 @@
       {"unknown coding", head + key + "Transfer-Encoding: xchunked\r\n\r\nGET / HTTP/1.1\r\n\r\n",
        400},
       {"no key", head + "Content-Length: 0\r\n\r\n", 401},
-      {"wrong key", head + "X-Api-Key: nobody\r\nContent-Length: 0\r\n\r\n", 401},
+      {"wrong key", head + "X-Api-Key: unknown\r\nContent-Length: 0\r\n\r\n", 401},
       {"deadline no number", head + key + "Deadline-Ms: soon\r\nContent-Length: 0\r\n\r\n", 400},
       {"no such host", "GET /app/look/ HTTP/1.1\r\nHost: other\r\n" + key + "\r\n", 404},
       {"no such path", "GET /nowhere/ HTTP/1.1\r\nHost: test.example\r\n" + key + "\r\n", 404},
@@ -268,7 +268,7 @@
     BOOST_TEST(fixture->RunUntil([&] { return fixture->Call(open).head.status == 200; }));
     fixture->store.SetTrouble(trouble);
     BOOST_TEST(fixture->RunUntil(
-        [&] { return fixture->Call(fixture->StreamRequest("cut")).head.status == 503; }));
+        [&] { return fixture->Call(fixture->StreamRequest("outage")).head.status == 503; }));
     BOOST_TEST(!fixture->gateway->IsReady());
     // Requests that need no key are still served.
     BOOST_TEST(fixture->Call(open).head.status == 200);
@@ -571,7 +571,7 @@
 
 BOOST_AUTO_TEST_CASE(APromptLargerThanOneEnginesMemoryIsSpreadAndItsMemoryReleased) {
   auto fixture = StartedFixture({.engines = 4});
-  std::string request = fixture->StreamRequest("vast");
+  std::string request = fixture->StreamRequest("very-long");
   request.replace(request.find("1000,80"), 7, "700000,800");
   Reply reply = fixture->Call(request);
   BOOST_TEST(reply.head.status == 200);
--- a/src/gateway/testing/retry_budget_test.cc
+++ b/src/gateway/testing/retry_budget_test.cc
@@ -108,12 +108,13 @@
   // requests are counted in this window, in the one before it, and in the one that begins half a
   // window earlier; the largest count applies.
   double Allowed(Time begin) const {
-    double most = 0;
+    double max_requests = 0;
     for (Duration earlier : {Duration(0), this->bounds.window / 2, this->bounds.window}) {
       Time from = begin - earlier;
-      most = std::max(most, Count(this->requests, from, from + this->bounds.window));
+      max_requests =
+          std::max(max_requests, Count(this->requests, from, from + this->bounds.window));
     }
-    return this->bounds.ratio * most + this->bounds.slack;
+    return this->bounds.ratio * max_requests + this->bounds.slack;
   }
 
   RetryBounds bounds;
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -28,8 +28,8 @@
 TicketSet::TicketSet(GatewayState* gateway_state, std::vector<TicketRequest> ticket_requests)
     : state(gateway_state), requests(std::move(ticket_requests)) {}
 
-void TicketSet::Order(const TicketRequest& request, const std::string& text,
-                      std::function<void(bool)> done) {
+void TicketSet::SendOrder(const TicketRequest& request, const std::string& text,
+                          std::function<void(bool)> done) {
   auto order = std::make_shared<PendingOrder>();
   order->channel = this->state->pool.Take(request.engine, Now(), /*fresh=*/false);
   this->state->counters.orders += 1;
@@ -66,7 +66,7 @@
   for (const TicketRequest& request : this->requests) {
     std::string text = platform::ReserveMemoryText(request.engine, request.ticket, request.tokens,
                                                    kTicketLifetime);
-    this->Order(
+    this->SendOrder(
         request, text,
         [self = this->shared_from_this(), engine = request.engine.Incarnation()](bool was_granted) {
           if (!was_granted) {
@@ -104,7 +104,7 @@
   std::string text =
       platform::ReserveMemoryText(request.engine, request.ticket, request.tokens, kTicketLifetime);
   this->next_order[ticket] = now + kRetryInterval;
-  this->Order(request, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
+  this->SendOrder(request, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
     if (carried_out) self->renewed_at[ticket] = now;
   });
 }
@@ -131,10 +131,10 @@
                                 .Text("engine", request.engine.Incarnation()));
     return;
   }
-  this->Order(request, platform::ReleaseMemoryText(request.engine, request.ticket),
-              [self = this->shared_from_this(), request, tries_left](bool carried_out) {
-                if (!carried_out) self->ReleaseOne(request, tries_left - 1);
-              });
+  this->SendOrder(request, platform::ReleaseMemoryText(request.engine, request.ticket),
+                  [self = this->shared_from_this(), request, tries_left](bool carried_out) {
+                    if (!carried_out) self->ReleaseOne(request, tries_left - 1);
+                  });
 }
 
 }  // namespace gullward
--- a/src/gateway/ticket_set.h
+++ b/src/gateway/ticket_set.h
@@ -67,7 +67,8 @@
 
  private:
   // Sends an order to the engine and calls `done` once, with whether the engine carried it out.
-  void Order(const TicketRequest& request, const std::string& text, std::function<void(bool)> done);
+  void SendOrder(const TicketRequest& request, const std::string& text,
+                 std::function<void(bool)> done);
   bool IsDue(size_t ticket, Time now) const;
   void Renew(size_t ticket, Time now);
   bool HasRestarted(const TicketRequest& request) const;
