--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -419,8 +419,9 @@
   }
 }
 
-// If all engines hold back requests (by a limit, a rest or because they are leaving), the
-// answer says when the first of them will take requests again.
+// Refuses a request that has not run on any engine.  If all engines hold back requests (by a
+// limit, by a rest, or because they are leaving), the answer says when the first of them will
+// take requests again.
 void Exchange::RefuseUnsent() {
   Time now = Now();
   Fleet& fleet = this->state->fleet;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -51,8 +51,8 @@
   // Cancels the attempt under way.  To be called when the caller has disconnected.
   void CallerGone();
 
-  // Resumes reading from the engine.  To be called when the caller has read all bytes that
-  // were written to it.
+  // Resumes reading from the engine.  To be called when the kernel has taken all bytes that were
+  // written to the caller.
   void CallerDrained();
 
   bool finished() const { return this->is_finished; }
