--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -57,13 +57,15 @@
 
   // Whether any content is suspect or in quarantine.  While none is, the content of a request
   // need not be computed.
-  bool has_records() const { return this->quarantine().knows_any(); }
+  bool has_records() const { return this->quarantine().has_records(); }
   // Whether a request may be sent to a second engine after its first attempt broke off.
   bool AllowsSecondAttempt(ContentId content) const {
     return this->quarantine().AllowsSecondAttempt(content);
   }
   // Whether an engine has crashed while it had a request of this content.
-  bool IsSuspect(ContentId content) const { return this->quarantine().CrashesOf(content) > 0; }
+  bool IsSuspect(ContentId content) const {
+    return this->quarantine().UnexplainedCrashCount(content) > 0;
+  }
 
   // Records that an attempt broke off that was sent to `engine` at `sent`, and tests the engine.
   // `line` is written to the log when the test ends, with its result.
@@ -75,10 +77,10 @@
 
   // Takes in a peer's gossip: crash reports, contents answered whole, and quarantine reports.
   // Returns the gossip to be sent back to the peer.
-  CrashNews ReceiveGossip(const std::string& peer, const CrashNews& gossip, Time now);
+  CrashGossip ReceiveGossip(const std::string& peer, const CrashGossip& gossip, Time now);
 
   // Returns gossip to be sent to a few peers; empty if there is none.
-  CrashNews TakeGossip() { return this->shared.TakeNews(); }
+  CrashGossip TakeGossip() { return this->shared.TakeGossip(); }
 
   // Takes in an entry of the store topic that holds the quarantine.
   void OnRecord(ContentId content, const std::string& value, Time now);
@@ -100,15 +102,15 @@
   // Calls to the store for quarantine entries.
   uint64_t store_calls() const { return this->quarantine_store.store_calls(); }
   // Items of gossip that were dropped because the queue was full.
-  uint64_t gossip_dropped() const { return this->shared.news_dropped(); }
+  uint64_t gossip_dropped() const { return this->shared.gossip_dropped(); }
   // Quarantine entries for which the store topic had no room.
-  uint64_t unstored_entries() const { return this->quarantine_store.unkept(); }
+  uint64_t unstored_entries() const { return this->quarantine_store.dropped_entries(); }
   const Quarantine& quarantine() const { return this->shared.contents(); }
 
  private:
   SharedQuarantine::Hooks EventHooks();
-  void OnQuarantined(const QuarantineWord& report, const std::string& by);
-  void StoreEntry(const QuarantineWord& report, const std::string& by, bool is_witness, Time now);
+  void OnQuarantined(const QuarantineReport& report, const std::string& by);
+  void StoreEntry(const QuarantineReport& report, const std::string& by, bool is_witness, Time now);
 
   Options options;
   EventLog* log;
--- a/src/gateway/notice_receiver.cc
+++ b/src/gateway/notice_receiver.cc
@@ -26,10 +26,10 @@
 void ReceiveNotice(GatewayState* state, const EngineRecord& engine, const ResponseHead& head,
                    Time sent) {
   if (head.status == kMisdirected) return;
-  EngineNotice notice = platform::NoticeOf(head.status, head.headers);
+  EngineNotice notice = platform::ParseEngineNotice(head.status, head.headers);
   if (notice.malformed) NoteMalformed(state, engine);
   EngineNotices& notices = state->fleet.notices();
-  EngineNotices::Change change = notices.Hear(engine.Incarnation(), notice, sent, Now());
+  EngineNotices::Change change = notices.Receive(engine.Incarnation(), notice, sent, Now());
   if (!change.any()) return;
   state->counters.limit_changes += change.limit ? 1 : 0;
   state->counters.leaving_changes += change.leaving ? 1 : 0;
--- a/src/gateway/testing/engine_leaving_test.cc
+++ b/src/gateway/testing/engine_leaving_test.cc
@@ -214,7 +214,7 @@
   FullListener full(&fixture->loop);
   EngineRecord stuck{"app-9", "app", full.address(), "hall-1", 16, false};
   fixture->store.Put("keyed.servers", stuck.id, platform::EngineDocument(stuck));
-  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->Knows(stuck.id); }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->HasEngine(stuck.id); }));
   // The second request is sent to the other engine, because the first one loads its engine.
   auto one = fixture->Send(fixture->OnceRequest("one"));
   auto other = fixture->Send(fixture->OnceRequest("other"));
--- a/src/gateway/testing/gateway_fixture.h
+++ b/src/gateway/testing/gateway_fixture.h
@@ -44,7 +44,7 @@
   Mechanisms mechanisms = {};
   // Allows every attempt that a request may need as soon as the gateway starts, when it has no
   // slack yet.  The bound on all retries together is tested elsewhere (retry_budget_test.cc).
-  RetryBounds retry = {.window = seconds(10), .ratio = kMostAttempts, .slack = 100};
+  RetryBounds retry = {.window = seconds(10), .ratio = kMaxAttempts, .slack = 100};
 };
 
 // What a caller received for one request.
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -64,7 +64,7 @@
   this->renewed_at.assign(this->requests.size(), Now());
   this->next_order = this->renewed_at;
   for (const TicketRequest& request : this->requests) {
-    std::string text = platform::ReserveMemoryText(request.engine, request.ticket, request.tokens,
+    std::string text = platform::FormatReserveRequest(request.engine, request.ticket, request.tokens,
                                                    kTicketLifetime);
     this->SendOrder(
         request, text,
@@ -102,7 +102,7 @@
 void TicketSet::Renew(size_t ticket, Time now) {
   const TicketRequest& request = this->requests[ticket];
   std::string text =
-      platform::ReserveMemoryText(request.engine, request.ticket, request.tokens, kTicketLifetime);
+      platform::FormatReserveRequest(request.engine, request.ticket, request.tokens, kTicketLifetime);
   this->next_order[ticket] = now + kRetryInterval;
   this->SendOrder(request, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
     if (carried_out) self->renewed_at[ticket] = now;
@@ -113,7 +113,7 @@
 // then reserve memory anew for a part of a prompt that is lost.
 bool TicketSet::HasRestarted(const TicketRequest& request) const {
   const EngineRecord* known = this->state->fleet.directory().Find(request.engine.id);
-  return known != nullptr && known->born > request.engine.born;
+  return known != nullptr && known->started_at_ms > request.engine.started_at_ms;
 }
 
 void TicketSet::Release() {
@@ -131,7 +131,7 @@
                                 .Text("engine", request.engine.Incarnation()));
     return;
   }
-  this->SendOrder(request, platform::ReleaseMemoryText(request.engine, request.ticket),
+  this->SendOrder(request, platform::FormatReleaseRequest(request.engine, request.ticket),
                   [self = this->shared_from_this(), request, tries_left](bool carried_out) {
                     if (!carried_out) self->ReleaseOne(request, tries_left - 1);
                   });
--- a/src/serving/testing/cell_test.cc
+++ b/src/serving/testing/cell_test.cc
@@ -83,11 +83,11 @@
         // A hash deals out unevenly.
         // Where gateways are few, so many engines for each; a cell has two to eight of them.
         size_t for_few_gateways = 12 * row.engines / row.gateways;
-        BOOST_TEST(count <= std::max(3 * CellMap::kMostEngines / 2, for_few_gateways));
+        BOOST_TEST(count <= std::max(3 * CellMap::kMaxEngines / 2, for_few_gateways));
         BOOST_TEST(count >= CellMap::kLeastEngines / 2);
       }
       for (const auto& [cell, count] : gateways_of) {
-        BOOST_TEST(count <= PeerDirectory::kMostAtOnce);
+        BOOST_TEST(count <= PeerDirectory::kMaxPeersPerRound);
         BOOST_TEST(engines_of.count(cell) == 1u);
       }
       // No engine is without gateways.
@@ -141,18 +141,18 @@
 BOOST_AUTO_TEST_CASE(NobodyIsLeftOutHoweverManyThereAre) {
   CellMap cells = MapOf(Engines(18, 3));
   Cell home = cells.HomeOf("box-0", Hall(0));
-  for (size_t count : {size_t{4}, PeerDirectory::kMostAtOnce, size_t{102}, size_t{140}}) {
+  for (size_t count : {size_t{4}, PeerDirectory::kMaxPeersPerRound, size_t{102}, size_t{140}}) {
     PeerDirectory peers;
     for (size_t i = 1; i <= count; ++i) peers.Update(PeerNumber(i, 3));
     std::set<std::string> told;
     for (int round = 0; round < 3; ++round) {
-      std::vector<const Peer*> now = peers.NextOf("pool", cells, home, 1);
-      BOOST_TEST(now.size() <= PeerDirectory::kMostAtOnce);
+      std::vector<const Peer*> now = peers.MembersForRound("pool", cells, home, 1);
+      BOOST_TEST(now.size() <= PeerDirectory::kMaxPeersPerRound);
       for (const Peer* peer : now) told.insert(peer->box);
       peers.BeginRound();
     }
     BOOST_TEST(told.size() == count);
-    BOOST_TEST((peers.untold() > 0) == (count > PeerDirectory::kMostAtOnce));
+    BOOST_TEST((peers.deferred() > 0) == (count > PeerDirectory::kMaxPeersPerRound));
   }
 }
 
@@ -162,19 +162,19 @@
   PeerDirectory peers;
   for (size_t i = 1; i < 103; ++i) peers.Update(PeerNumber(i, 5));
   Cell home = cells.HomeOf("box-0", Hall(0));
-  BOOST_TEST(peers.NextOf("pool", cells, home, 1).size() == 20u);
+  BOOST_TEST(peers.MembersForRound("pool", cells, home, 1).size() == 20u);
   peers.Remove("box-5");
-  BOOST_TEST(peers.NextOf("pool", cells, home, 1).size() == 19u);
+  BOOST_TEST(peers.MembersForRound("pool", cells, home, 1).size() == 19u);
   CellMap whole;
-  BOOST_TEST(peers.NextOf("pool", whole, whole.HomeOf("box-0", Hall(0)), 2).size() ==
-             PeerDirectory::kMostAtOnce);
+  BOOST_TEST(peers.MembersForRound("pool", whole, whole.HomeOf("box-0", Hall(0)), 2).size() ==
+             PeerDirectory::kMaxPeersPerRound);
   std::mt19937_64 random(1);
   for (int i = 0; i < 50; ++i) {
-    for (const Peer* peer : peers.DrawOutside(cells, home, 2, &random)) {
+    for (const Peer* peer : peers.SampleOutside(cells, home, 2, &random)) {
       BOOST_TEST(peer->data_centre != Hall(0));
     }
   }
-  BOOST_TEST(peers.DrawOutside(whole, {}, 2, &random).empty());
+  BOOST_TEST(peers.SampleOutside(whole, {}, 2, &random).empty());
 }
 
 Fleet FleetOf(const std::vector<EngineRecord>& engines, const Mechanisms& mechanisms = {}) {
@@ -193,7 +193,7 @@
 // Fills every engine of the home cell.
 void FillHome(Fleet* fleet) {
   std::map<std::string, EngineLoad> loads;
-  for (const HomeEngine& engine : fleet->plan(kStart).Of("pool").engines) {
+  for (const HomeEngine& engine : fleet->plan(kStart).ForService("pool").engines) {
     loads[engine.incarnation] = FullLoad();
   }
   fleet->loads().ApplyPeer("box-1", 1, 1, loads, kStart);
@@ -221,14 +221,14 @@
     BOOST_TEST(!fleet.Choose(kPool, {}, {}, kStart)->spilled);
     Fleet offering(RetryBounds{}, "box-9", Hall(1));
     for (const EngineRecord& engine : Engines(150, 5)) offering.directory().Update(engine);
-    std::map<std::string, EngineLoad> offer = offering.Offer(kStart);
+    std::map<std::string, EngineLoad> offer = offering.EnginesToOffer(kStart);
     BOOST_TEST(offer.size() == Spill::kEnginesTold);
-    fleet.HearOffer("box-9", 1, 1, offer, kStart);
+    fleet.ReceiveOffer("box-9", 1, 1, offer, kStart);
     std::optional<FleetChoice> choice = fleet.Choose(kPool, {}, {}, kStart);
     BOOST_TEST(choice->spilled == spill);
     BOOST_TEST((choice->engine.data_centre == Hall(1)) == spill);
     // What was offered long ago is known no longer.
-    Time later = kStart + LoadBook::kPeerSilence + milliseconds(1);
+    Time later = kStart + LoadTracker::kPeerTimeout + milliseconds(1);
     FillHome(&fleet);
     BOOST_TEST(!fleet.Choose(kPool, {}, {}, later)->spilled);
   }
@@ -256,24 +256,24 @@
 // engines; the work there is not counted twice.
 BOOST_AUTO_TEST_CASE(AnOfferOfHomeEnginesSaysNothing) {
   Fleet fleet = FleetOf(Engines(150, 5));
-  const std::string home = fleet.plan(kStart).Of("pool").engines.front().incarnation;
-  fleet.HearOffer("box-9", 1, 1, {{home, FullLoad()}}, kStart);
-  BOOST_TEST((fleet.loads().Of(home, kStart) == EngineLoad{}));
+  const std::string home = fleet.plan(kStart).ForService("pool").engines.front().incarnation;
+  fleet.ReceiveOffer("box-9", 1, 1, {{home, FullLoad()}}, kStart);
+  BOOST_TEST((fleet.loads().LoadOn(home, kStart) == EngineLoad{}));
 }
 
 // What is kept of peers' words is bounded by what is current, not by all that was ever said.
 BOOST_AUTO_TEST_CASE(WordsOfPeersAreForgotten) {
-  LoadBook book;
+  LoadTracker book;
   Time now = kStart;
   for (size_t i = 0; i < 1000; ++i) {
     std::string engine = "e-" + std::to_string(i);
     book.ApplyPeer("box-" + std::to_string(i % 7), 1, i + 1, {{engine, FullLoad()}}, now);
     now += milliseconds(100);
     book.ForgetSilent(now);
-    BOOST_REQUIRE(book.words() <= 17u);
+    BOOST_REQUIRE(book.peer_entries() <= 17u);
   }
   book.ForgetSilent(now + seconds(2));
-  BOOST_TEST(book.words() == 0u);
+  BOOST_TEST(book.peer_entries() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(AGatewaysEntryIsReadAsItWasWritten) {
