--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -98,7 +98,8 @@
   if (this->options.is_enabled) this->shared.NoteAnswered(content, now);
 }
 
-CrashGossip CrashWatch::ReceiveGossip(const std::string& peer, const CrashGossip& gossip, Time now) {
+CrashGossip CrashWatch::ReceiveGossip(const std::string& peer, const CrashGossip& gossip,
+                                      Time now) {
   return this->options.is_enabled ? this->shared.Receive(peer, gossip, now) : CrashGossip{};
 }
 
--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -64,8 +64,8 @@
   this->renewed_at.assign(this->requests.size(), Now());
   this->next_order = this->renewed_at;
   for (const TicketRequest& request : this->requests) {
-    std::string text = platform::FormatReserveRequest(request.engine, request.ticket, request.tokens,
-                                                   kTicketLifetime);
+    std::string text = platform::FormatReserveRequest(request.engine, request.ticket,
+                                                      request.tokens, kTicketLifetime);
     this->SendOrder(
         request, text,
         [self = this->shared_from_this(), engine = request.engine.Incarnation()](bool was_granted) {
@@ -101,8 +101,8 @@
 
 void TicketSet::Renew(size_t ticket, Time now) {
   const TicketRequest& request = this->requests[ticket];
-  std::string text =
-      platform::FormatReserveRequest(request.engine, request.ticket, request.tokens, kTicketLifetime);
+  std::string text = platform::FormatReserveRequest(request.engine, request.ticket, request.tokens,
+                                                    kTicketLifetime);
   this->next_order[ticket] = now + kRetryInterval;
   this->SendOrder(request, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
     if (carried_out) self->renewed_at[ticket] = now;
