--- a/src/gateway/ticket_set.cc
+++ b/src/gateway/ticket_set.cc
@@ -28,8 +28,8 @@
 TicketSet::TicketSet(GatewayState* gateway_state, std::vector<TicketRequest> ticket_requests)
     : state(gateway_state), requests(std::move(ticket_requests)) {}
 
-void TicketSet::Order(const TicketRequest& request, const std::string& text,
-                      std::function<void(bool)> done) {
+void TicketSet::SendOrder(const TicketRequest& request, const std::string& text,
+                          std::function<void(bool)> done) {
   auto order = std::make_shared<PendingOrder>();
   order->channel = this->state->pool.Take(request.engine, Now(), /*fresh=*/false);
   this->state->counters.orders += 1;
@@ -64,9 +64,9 @@
   this->renewed_at.assign(this->requests.size(), Now());
   this->next_order = this->renewed_at;
   for (const TicketRequest& request : this->requests) {
-    std::string text = platform::FormatReserveRequest(request.engine, request.ticket, request.tokens,
-                                                   kTicketLifetime);
-    this->Order(
+    std::string text = platform::FormatReserveRequest(request.engine, request.ticket,
+                                                      request.tokens, kTicketLifetime);
+    this->SendOrder(
         request, text,
         [self = this->shared_from_this(), engine = request.engine.Incarnation()](bool was_granted) {
           if (!was_granted) {
@@ -101,10 +101,10 @@
 
 void TicketSet::Renew(size_t ticket, Time now) {
   const TicketRequest& request = this->requests[ticket];
-  std::string text =
-      platform::FormatReserveRequest(request.engine, request.ticket, request.tokens, kTicketLifetime);
+  std::string text = platform::FormatReserveRequest(request.engine, request.ticket, request.tokens,
+                                                    kTicketLifetime);
   this->next_order[ticket] = now + kRetryInterval;
-  this->Order(request, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
+  this->SendOrder(request, text, [self = this->shared_from_this(), ticket, now](bool carried_out) {
     if (carried_out) self->renewed_at[ticket] = now;
   });
 }
@@ -131,10 +131,10 @@
                                 .Text("engine", request.engine.Incarnation()));
     return;
   }
-  this->Order(request, platform::FormatReleaseRequest(request.engine, request.ticket),
-              [self = this->shared_from_this(), request, tries_left](bool carried_out) {
-                if (!carried_out) self->ReleaseOne(request, tries_left - 1);
-              });
+  this->SendOrder(request, platform::FormatReleaseRequest(request.engine, request.ticket),
+                  [self = this->shared_from_this(), request, tries_left](bool carried_out) {
+                    if (!carried_out) self->ReleaseOne(request, tries_left - 1);
+                  });
 }
 
 }  // namespace gullward
