--- a/src/endpoint/endpoint_core.cc
+++ b/src/endpoint/endpoint_core.cc
@@ -28,7 +28,7 @@
 EndpointCore::Engine::Engine(const EngineOptions& engine_options, double group_share, Time now)
     : options(engine_options),
       ledger(engine_options.memory_tokens, group_share),
-      speed(engine_options.speed_guess),
+      speed(engine_options.initial_speed),
       next_sweep(now) {}
 
 EndpointCore::EndpointCore(EndpointOptions endpoint_options, Time now)
@@ -307,7 +307,7 @@
   }
 }
 
-void EndpointCore::OnEngineBroken(const AttemptId& id, const EngineBroken& broken, Time now) {
+void EndpointCore::OnEngineFailure(const AttemptId& id, const EngineFailure& broken, Time now) {
   Attempt* attempt = this->Find(id);
   if (attempt == nullptr || attempt->state != State::kRunning) return;
   if (broken.ran == Ran::kNo) {
--- a/src/endpoint/endpoint_core.h
+++ b/src/endpoint/endpoint_core.h
@@ -70,7 +70,7 @@
   std::string address;
   std::string model;
   uint64_t memory_tokens = 0;
-  PrefillSpeed speed_guess;
+  PrefillSpeed initial_speed;
 
   bool operator==(const EngineOptions&) const = default;
 };
@@ -163,7 +163,7 @@
 };
 
 // The engine did not take the attempt or broke it off.
-struct EngineBroken {
+struct EngineFailure {
   ResultCode code = ResultCode::kEngineFailed;
   // kNo where the engine is known not to have seen or taken the call.
   Ran ran = Ran::kUnknown;
@@ -208,7 +208,7 @@
   // Engines and the service.
   void OnEngineOutput(const AttemptId& id, const EngineOutput& output, Time now);
   void OnEngineFinished(const AttemptId& id, const EngineFinished& finished, Time now);
-  void OnEngineBroken(const AttemptId& id, const EngineBroken& broken, Time now);
+  void OnEngineFailure(const AttemptId& id, const EngineFailure& broken, Time now);
   void OnEngineFreed(uint32_t engine, const std::string& allocation, bool freed, Time now);
   void OnAllocations(uint32_t engine, const std::vector<EngineAllocation>& list, Time now);
   void OnEngineUnreachable(uint32_t engine, Time now);
--- a/src/endpoint/endpoint_server.cc
+++ b/src/endpoint/endpoint_server.cc
@@ -66,10 +66,10 @@
                  this->core.OnEngineFinished(id, finished, Now());
                  this->PerformActions();
                },
-               [this](const AttemptId& id, const EngineBroken& broken) {
+               [this](const AttemptId& id, const EngineFailure& broken) {
                  LOG(WARNING) << "request " << ToString(id)
                               << " broke on the engine: " << Info(broken.code).name;
-                 this->core.OnEngineBroken(id, broken, Now());
+                 this->core.OnEngineFailure(id, broken, Now());
                  this->PerformActions();
                },
                [this](uint32_t engine, const std::string& allocation, bool freed) {
@@ -246,7 +246,7 @@
       this->core.OnServiceAnswer(id, {result.status, result.content_type, result.body}, Now());
     } else {
       Ran ran = result.connected ? Ran::kUnknown : Ran::kNo;
-      this->core.OnEngineBroken(id, {ResultCode::kServiceFailed, ran}, Now());
+      this->core.OnEngineFailure(id, {ResultCode::kServiceFailed, ran}, Now());
     }
     this->PerformActions();
   };
--- a/src/endpoint/engine_client.cc
+++ b/src/endpoint/engine_client.cc
@@ -43,7 +43,7 @@
 }
 
 // What a refusal by the engine means: it says so before it starts anything.
-EngineBroken RefusalOf(int status) {
+EngineFailure RefusalOf(int status) {
   if (status == 507) return {ResultCode::kNoMemory, Ran::kNo};
   if (status >= 400 && status < 500) return {ResultCode::kStaleOffer, Ran::kNo};
   if (status == 503) return {ResultCode::kEngineFailed, Ran::kNo};
--- a/src/endpoint/engine_client.h
+++ b/src/endpoint/engine_client.h
@@ -26,7 +26,7 @@
   struct Hooks {
     std::function<void(const AttemptId&, const EngineOutput&)> output;
     std::function<void(const AttemptId&, const EngineFinished&)> finished;
-    std::function<void(const AttemptId&, const EngineBroken&)> broken;
+    std::function<void(const AttemptId&, const EngineFailure&)> broken;
     std::function<void(uint32_t engine, const std::string& allocation, bool freed)> freed;
     std::function<void(uint32_t engine, const std::vector<EngineAllocation>&)> listed;
     std::function<void(uint32_t engine)> unreachable;
--- a/src/endpoint/ledger.cc
+++ b/src/endpoint/ledger.cc
@@ -123,7 +123,7 @@
   return std::max(harmless, std::min(passing, this->free()));
 }
 
-bool Ledger::Consistent() const {
+bool Ledger::IsConsistent() const {
   uint64_t sum = 0;
   uint64_t large = 0;
   uint64_t passed = 0;
--- a/src/endpoint/ledger.h
+++ b/src/endpoint/ledger.h
@@ -101,7 +101,7 @@
   bool Holds(const AttemptId& id) const { return this->held.count(id) > 0; }
 
   // Whether the counters agree with the claims: held + free = total.  For tests.
-  bool Consistent() const;
+  bool IsConsistent() const;
 
  private:
   // The lower, the earlier served.
--- a/src/endpoint/settings.cc
+++ b/src/endpoint/settings.cc
@@ -19,7 +19,7 @@
   engine.memory_tokens =
       static_cast<uint64_t>(reader.Integer("memory_tokens", std::nullopt, 1, kMaxMemoryTokens));
   double tokens_per_second = reader.Number("prefill_tokens_per_second", 20000, 1, 1e9);
-  engine.speed_guess.seconds_per_token = 1 / tokens_per_second;
+  engine.initial_speed.seconds_per_token = 1 / tokens_per_second;
   reader.Finish();
   return engine;
 }
--- a/src/endpoint/testing/endpoint_core_test.cc
+++ b/src/endpoint/testing/endpoint_core_test.cc
@@ -207,7 +207,7 @@
 BOOST_AUTO_TEST_CASE(ARefusalByTheEngineIsNotRun) {
   Endpoint endpoint;
   endpoint.Say(endpoint.OfferOf(Id(1), 100, /*repeatable=*/false));
-  endpoint.core.OnEngineBroken(Id(1), {ResultCode::kNoMemory, Ran::kNo}, endpoint.now);
+  endpoint.core.OnEngineFailure(Id(1), {ResultCode::kNoMemory, Ran::kNo}, endpoint.now);
   endpoint.Actions();
   BOOST_TEST((endpoint.refusals == std::vector<ResultCode>{ResultCode::kNoMemory}));
   BOOST_TEST(endpoint.core.ledger(0).free() == 10'000u);
--- a/src/endpoint/testing/ledger_test.cc
+++ b/src/endpoint/testing/ledger_test.cc
@@ -152,7 +152,7 @@
       } else if (fast.Free(Id(call.number)).granted != slow.Free(Id(call.number))) {
         return this->Report(calls);
       }
-      if (fast.free() != slow.free() || !fast.Consistent()) return this->Report(calls);
+      if (fast.free() != slow.free() || !fast.IsConsistent()) return this->Report(calls);
     }
     return true;
   }
--- a/src/trial/world.cc
+++ b/src/trial/world.cc
@@ -155,7 +155,7 @@
     engine.address = this->EngineAddress(node->index, e);
     engine.model = "base";
     engine.memory_tokens = this->options.engine.memory_tokens;
-    engine.speed_guess = this->options.engine.speed;
+    engine.initial_speed = this->options.engine.speed;
     endpoint_options.engines.push_back(engine);
   }
   node->core = std::make_unique<EndpointCore>(endpoint_options, this->clock);
@@ -434,7 +434,7 @@
   uint64_t node_life = node->life;
   auto broken = [this, node, id = start.id](ResultCode code, Ran ran) {
     this->Deliver(node, kEngineDelay, [this, node, id, code, ran] {
-      node->core->OnEngineBroken(id, {code, ran}, this->clock);
+      node->core->OnEngineFailure(id, {code, ran}, this->clock);
       this->Perform(node);
     });
   };
@@ -572,7 +572,7 @@
   for (const auto& [name, id] : engine->streams) {
     if (engine->stream_life[name] != node->life) continue;
     this->Deliver(node, kEngineDelay, [this, node, id = id, ran] {
-      node->core->OnEngineBroken(id, {ResultCode::kEngineFailed, ran}, this->clock);
+      node->core->OnEngineFailure(id, {ResultCode::kEngineFailed, ran}, this->clock);
       this->Perform(node);
     });
   }
@@ -726,7 +726,7 @@
     for (uint32_t e = 0; e < node->engines.size(); ++e) {
       std::string name = this->BoxName(node->index) + " engine " + std::to_string(e) + ": ";
       const EngineModel& model = *node->engines[e]->model;
-      if (node->alive && !node->core->ledger(e).Consistent()) {
+      if (node->alive && !node->core->ledger(e).IsConsistent()) {
         broken.push_back(name + "ledger is not consistent");
       }
       if (!quiet) continue;
