--- a/src/endpoint/endpoint_core.cc
+++ b/src/endpoint/endpoint_core.cc
@@ -1,4 +1,4 @@
-// The state machine of the endpoint process; endpoint_core.h tells its rules.
+// The state machine of the endpoint process; endpoint_core.h describes its rules.
 
 #include "endpoint/endpoint_core.h"
 
@@ -8,12 +8,11 @@
 namespace gullward {
 namespace {
 
-// What a refused caller is told at least, so that it does not come straight
-// back.
-constexpr uint64_t kLeastRetryAfterMillis = 100;
+// Lower bound of the retry time in a refusal, so that refused requests do not come back at once.
+constexpr uint64_t kMinRetryAfterMillis = 100;
 
 Duration FromMillis(uint64_t millis) {
-  // A deadline beyond a day is cut: it is no deadline, and must not overflow.
+  // Limited to a day: a longer time is no real deadline, and the conversion must not overflow.
   constexpr uint64_t kDay = 86'400'000;
   return milliseconds(std::min(millis, kDay));
 }
@@ -46,9 +45,9 @@
 
 void EndpointCore::OnMessage(PeerId peer, const Message& message, Time now) {
   auto found = this->peers.find(peer);
-  // Nothing is taken from a peer that has not said who it is.
+  // Messages of a peer that has not sent Hello are ignored.
   if (found == this->peers.end()) return;
-  found->second.last_heard = now;
+  found->second.last_received = now;
   if (const auto* reserve = std::get_if<Reserve>(&message)) this->OnReserve(peer, *reserve, now);
   if (const auto* offer = std::get_if<Offer>(&message)) this->OnOffer(peer, *offer, now);
   if (const auto* cancel = std::get_if<Cancel>(&message)) this->OnCancel(*cancel, now);
@@ -64,10 +63,10 @@
   for (const auto& [id, attempt] : this->live) {
     if (attempt.peer == peer && !MustFinish(attempt)) cancelled.push_back(id);
   }
-  // An entry that was only paused is told; to one that is lost nothing is sent.
+  // If the entry was only paused, it receives the failures.  To a lost entry nothing is sent.
   for (const AttemptId& id : cancelled) {
     ++this->counts.cancelled;
-    this->GiveUp(id, ResultCode::kLeaseLapsed, now);
+    this->EndAttempt(id, ResultCode::kLeaseLapsed, now);
   }
 }
 
@@ -76,14 +75,14 @@
   return attempt.state == State::kRunning && !attempt.offer.repeatable && last_piece;
 }
 
-void EndpointCore::GiveUp(const AttemptId& id, ResultCode code, Time now) {
+void EndpointCore::EndAttempt(const AttemptId& id, ResultCode code, Time now) {
   const Attempt* attempt = this->Find(id);
   if (attempt == nullptr) return;
   bool started = attempt->state == State::kRunning || attempt->state == State::kKept;
   if (started) {
     this->Fail(id, code, Ran::kYes, now);
   } else {
-    this->HandBack(id, code, now);
+    this->ReturnAsNotRun(id, code, now);
   }
 }
 
@@ -110,7 +109,7 @@
   attempt.reserve_only = true;
   attempt.deadline = now + FromMillis(reserve.deadline_ms);
   Time arrival = now - FromMillis(reserve.age_ms);
-  this->AskMemory(std::move(attempt), reserve.value, arrival, now);
+  this->RequestMemory(std::move(attempt), reserve.value, arrival, now);
 }
 
 ResultCode EndpointCore::CheckOffer(const Offer& offer) const {
@@ -154,7 +153,7 @@
   attempt.tokens = TokensNeeded(offer);
   attempt.deadline = now + FromMillis(offer.deadline_ms);
   attempt.offer = offer;
-  this->AskMemory(std::move(attempt), offer.value, now, now);
+  this->RequestMemory(std::move(attempt), offer.value, now, now);
 }
 
 void EndpointCore::OnServiceOffer(PeerId peer, const Offer& offer, Time now) {
@@ -182,12 +181,12 @@
   this->actions.push_back(CallService{offer.id, offer, time_left});
 }
 
-void EndpointCore::AskMemory(Attempt attempt, uint32_t value, Time arrival, Time now) {
+void EndpointCore::RequestMemory(Attempt attempt, uint32_t value, Time arrival, Time now) {
   Engine& engine = this->engines[attempt.engine];
   MemoryClaim claim{attempt.id, attempt.tokens, value, arrival, attempt.group};
   std::vector<AttemptId> displaced;
-  Grant grant = engine.ledger.Ask(claim, &displaced);
-  for (const AttemptId& id : displaced) this->HandBack(id, ResultCode::kNoMemory, now);
+  Grant grant = engine.ledger.Request(claim, &displaced);
+  for (const AttemptId& id : displaced) this->ReturnAsNotRun(id, ResultCode::kNoMemory, now);
   if (grant == Grant::kRefused) {
     this->Refuse(attempt.peer, attempt.id, attempt.engine, ResultCode::kNoMemory);
     return;
@@ -226,7 +225,7 @@
   engine.backlog.AdvanceTo(now);
   engine.backlog.Add(attempt->id, offer.priority, work);
   StartOnEngine start{attempt->id, attempt->engine, offer, attempt->deadline - now};
-  // The prompt has moved to the engine's call; keeping it would double it.
+  // The action holds a copy of the prompt; a second copy here would waste memory.
   attempt->offer.prompt.clear();
   attempt->offer.prompt.shrink_to_fit();
   this->actions.push_back(std::move(start));
@@ -238,14 +237,13 @@
 }
 
 uint64_t EndpointCore::RetryAfterMillis(uint32_t engine) const {
-  uint64_t millis = kLeastRetryAfterMillis;
+  uint64_t millis = kMinRetryAfterMillis;
   if (engine >= this->engines.size()) return millis;
   for (double part : this->engines[engine].backlog.Millis()) millis += static_cast<uint64_t>(part);
   return millis;
 }
 
-// Gives an attempt that was not started back to its entry.
-void EndpointCore::HandBack(const AttemptId& id, ResultCode code, Time now) {
+void EndpointCore::ReturnAsNotRun(const AttemptId& id, ResultCode code, Time now) {
   Attempt* attempt = this->Find(id);
   if (attempt == nullptr) return;
   this->Refuse(attempt->peer, id, attempt->engine, code);
@@ -253,11 +251,11 @@
 }
 
 void EndpointCore::OnCancel(const Cancel& cancel, Time now) {
-  // A cancel may overtake its offer, which must then not be started.
+  // The cancel may arrive before its offer, which must then not be started.
   this->Remember(cancel.id);
   Attempt* attempt = this->Find(cancel.id);
   if (attempt == nullptr) return;
-  // Work that may not be repeated is not broken off half way.
+  // A running attempt that may not be repeated is not cancelled.
   if (MustFinish(*attempt)) return;
   ++this->counts.cancelled;
   this->Remove(cancel.id, /*on_engine=*/true, now);
@@ -287,7 +285,7 @@
   for (const KvContext& context : offer.context) before += context.tokens;
   engine.speed.Observe(before + finished.cached_tokens, before + finished.prompt_tokens,
                        finished.prefill_seconds);
-  this->LearnHints(&engine, offer);
+  this->RecordHints(&engine, offer);
   bool kept = offer.piece + 1 < offer.pieces;
   Done done;
   done.id = id;
@@ -307,14 +305,14 @@
   }
 }
 
-void EndpointCore::OnEngineFailure(const AttemptId& id, const EngineFailure& broken, Time now) {
+void EndpointCore::OnEngineFailure(const AttemptId& id, const EngineFailure& failure, Time now) {
   Attempt* attempt = this->Find(id);
   if (attempt == nullptr || attempt->state != State::kRunning) return;
-  if (broken.ran == Ran::kNo) {
-    this->HandBack(id, broken.code, now);
+  if (failure.ran == Ran::kNo) {
+    this->ReturnAsNotRun(id, failure.code, now);
     return;
   }
-  this->Fail(id, broken.code, broken.ran, now);
+  this->Fail(id, failure.code, failure.ran, now);
 }
 
 void EndpointCore::OnServiceAnswer(const AttemptId& id, const ServiceAnswer& answer, Time now) {
@@ -352,8 +350,8 @@
   Engine& engine = this->engines[attempt.engine];
   engine.backlog.AdvanceTo(now);
   engine.backlog.Remove(id);
-  bool engine_saw_it = attempt.state == State::kRunning || attempt.state == State::kKept;
-  if (on_engine && engine_saw_it) {
+  bool sent_to_engine = attempt.state == State::kRunning || attempt.state == State::kKept;
+  if (on_engine && sent_to_engine) {
     std::string name = ToString(id);
     engine.freeing[name] = {id, true, now + this->settings.free_retry};
     this->actions.push_back(FreeOnEngine{attempt.engine, name});
@@ -363,7 +361,7 @@
 }
 
 void EndpointCore::Release(uint32_t engine, const AttemptId& id, Time now) {
-  Freed freed = this->engines[engine].ledger.Free(id);
+  FreeResult freed = this->engines[engine].ledger.Free(id);
   this->StartGranted(freed.granted, now);
 }
 
@@ -376,7 +374,7 @@
     found->second.next_try = now + this->settings.free_retry;
     return;
   }
-  Freeing freeing = found->second;
+  PendingFree freeing = found->second;
   engine.freeing.erase(found);
   if (freeing.in_ledger) this->Release(index, freeing.id, now);
 }
@@ -397,17 +395,17 @@
     engine.freeing[name] = {AttemptId{}, false, now + this->settings.free_retry};
     this->actions.push_back(FreeOnEngine{index, name});
   }
-  // What the engine no longer lists is free, whatever became of our call.
+  // An allocation that the engine no longer lists is free, whatever the result of the free call.
   std::vector<std::string> gone;
   for (const auto& [name, freeing] : engine.freeing) {
     if (on_engine.count(name) == 0) gone.push_back(name);
   }
   for (const std::string& name : gone) this->OnEngineFreed(index, name, true, now);
-  // Memory that an earlier incarnation left there is not in the ledger: until it
-  // is gone the engine must not be given new work.
-  bool strange = std::any_of(engine.freeing.begin(), engine.freeing.end(),
-                             [](const auto& item) { return !item.second.in_ledger; });
-  if (!engine.up && !strange) engine.up = true;
+  // The ledger does not count allocations that an earlier incarnation left on the engine.  The
+  // engine gets no new work until they are freed.
+  bool has_leftover = std::any_of(engine.freeing.begin(), engine.freeing.end(),
+                                  [](const auto& item) { return !item.second.in_ledger; });
+  if (!engine.up && !has_leftover) engine.up = true;
   engine.next_sweep = now + (engine.up ? this->settings.sweep_period : this->settings.free_retry);
 }
 
@@ -417,15 +415,15 @@
   engine.next_sweep = now + this->settings.free_retry;
   ++engine.misses;
   bool lost = engine.misses >= kMissesUntilLost;
-  std::vector<AttemptId> hopeless;
+  std::vector<AttemptId> affected;
   for (const auto& [id, attempt] : this->live) {
     bool here = attempt.engine == index && attempt.offer.service.empty();
-    if (here && (lost || attempt.state == State::kWaiting)) hopeless.push_back(id);
+    if (here && (lost || attempt.state == State::kWaiting)) affected.push_back(id);
   }
-  for (const AttemptId& id : hopeless) this->GiveUp(id, ResultCode::kEngineFailed, now);
+  for (const AttemptId& id : affected) this->EndAttempt(id, ResultCode::kEngineFailed, now);
 }
 
-// ------------------------------------------------------------- the other ones
+// ---------------------------------------------------- drain, policy and timers
 
 void EndpointCore::Drain(Time now) {
   if (this->leaving) return;
@@ -434,7 +432,7 @@
   for (const auto& [id, attempt] : this->live) {
     if (attempt.state == State::kWaiting) waiting.push_back(id);
   }
-  for (const AttemptId& id : waiting) this->HandBack(id, ResultCode::kDraining, now);
+  for (const AttemptId& id : waiting) this->ReturnAsNotRun(id, ResultCode::kDraining, now);
 }
 
 void EndpointCore::SetPolicy(double group_memory_share, uint64_t long_tokens, Time now) {
@@ -455,28 +453,28 @@
 
 void EndpointCore::CheckLeases(Time now) {
   for (auto& [peer, state] : this->peers) {
-    if (now - state.last_heard < this->settings.lease) continue;
+    if (now - state.last_received < this->settings.lease) continue;
     ++this->counts.leases_lapsed;
-    state.last_heard = now;
+    state.last_received = now;
     this->CancelAttemptsOf(peer, now);
   }
 }
 
 void EndpointCore::CheckDeadlines(Time now) {
-  std::vector<AttemptId> late;
-  std::vector<AttemptId> hopeless;
+  std::vector<AttemptId> expired;
+  std::vector<AttemptId> cannot_finish;
   for (const auto& [id, attempt] : this->live) {
     if (attempt.deadline <= now) {
-      late.push_back(id);
+      expired.push_back(id);
     } else if (attempt.state == State::kWaiting && !attempt.reserve_only) {
       const PrefillSpeed& speed = this->engines[attempt.engine].speed.speed();
-      Duration least = FromSeconds(Seconds(speed, 0, attempt.offer.prompt_tokens));
-      if (now + least >= attempt.deadline) hopeless.push_back(id);
+      Duration min_time = FromSeconds(Seconds(speed, 0, attempt.offer.prompt_tokens));
+      if (now + min_time >= attempt.deadline) cannot_finish.push_back(id);
     }
   }
-  for (const AttemptId& id : late) this->GiveUp(id, ResultCode::kDeadlineExceeded, now);
-  // What waits for memory and could no longer finish is handed back now.
-  for (const AttemptId& id : hopeless) this->GiveUp(id, ResultCode::kOverloaded, now);
+  for (const AttemptId& id : expired) this->EndAttempt(id, ResultCode::kDeadlineExceeded, now);
+  // An attempt that waits for memory and can no longer finish in time is returned to its entry now.
+  for (const AttemptId& id : cannot_finish) this->EndAttempt(id, ResultCode::kOverloaded, now);
 }
 
 void EndpointCore::RetryFrees(Time now) {
@@ -527,9 +525,9 @@
   return heartbeat;
 }
 
-void EndpointCore::LearnHints(Engine* engine, const Offer& offer) {
-  // The longest prefix says all: it is found by its own hash, and its shorter
-  // ones are learned from the requests that share only those.
+void EndpointCore::RecordHints(Engine* engine, const Offer& offer) {
+  // Every prefix moves to the front.  Offers list the shortest prefix first, so the longest one
+  // ends up first and the short ones of old prompts are dropped first.
   for (const CacheHint& hint : offer.prefixes) {
     auto known = std::find(engine->hints.begin(), engine->hints.end(), hint);
     if (known != engine->hints.end()) engine->hints.erase(known);
--- a/src/endpoint/endpoint_core.h
+++ b/src/endpoint/endpoint_core.h
@@ -1,34 +1,34 @@
-// The decisions of an endpoint process: what runs on its engines, and when.
+// The state machine of an endpoint process, which decides what runs on its engines and when.
 //
-// The endpoint process stands in front of a few model engines, or of one plain
-// service.  It has the last word on what is started there, and it is the one
-// process that may say "not run".  EndpointCore holds that state machine.  It
-// does no I/O: events go in with the time, actions come out, and the shell
-// (endpoint/endpoint_server) turns bytes into events and actions into bytes.
+// An endpoint process serves entries on behalf of a few model engines or of one plain service.
+// Only the endpoint process starts attempts there, so only it can report that an attempt was not
+// run.  EndpointCore does no I/O.  Its methods take events together with the current time and queue
+// actions.  The shell (endpoint/endpoint_server) converts received bytes to events and performs
+// the actions.
 //
-//   EndpointCore core(options);
+//   EndpointCore core(options, now);
 //   core.OnMessage(peer, offer, now);
 //   for (const EndpointAction& action : core.TakeActions()) Perform(action);
 //
-// An attempt's life:
+// States of an attempt:
 //
 //   Reserve -> (waits) -> reserved ------------+
 //                                              v
 //   Offer   -> (waits for memory) -> started -> first token -> finished
 //                                        \-> kept (a piece of a large prompt)
 //
-// Before "started" the attempt may be handed back with Refused, which promises
-// that it was not run.  The attempt is recorded before the engine is called, and
-// an id that was seen is never started again: at most once.
+// Before it is started, an attempt may be returned to its entry with Refused, which guarantees
+// that the attempt was not run.  The id of an attempt is recorded before the engine is called, and
+// an attempt with a recorded id is never started again, so each attempt runs at most once.
 //
-// Leases.  An entry renews all of its attempts with one heartbeat.  When the
-// heartbeats stop, or the connection is lost, attempts that may be repeated are
-// cancelled and their memory freed.  One that may not be repeated runs to its
-// end: nobody else may run it, so stopping it would only lose it.
+// Leases.  One heartbeat of an entry renews the leases of all its attempts.  If the heartbeats stop
+// or the connection is lost, the entry's repeatable attempts are cancelled and their memory is
+// freed.  A running attempt that is not repeatable is completed: no other endpoint may run it, so
+// stopping it would only lose the answer.
 //
-// Memory is given back to the ledger only when the engine no longer holds it: a
-// free that failed is tried again, and a sweep compares the engine's own list of
-// allocations with the attempts here, and frees what no attempt covers.
+// Memory is returned to the ledger only when the engine no longer holds it.  A free that failed is
+// retried.  A periodic sweep compares the engine's own list of allocations with the attempts here
+// and frees allocations that belong to no attempt.
 
 #ifndef GULLWARD_ENDPOINT_ENDPOINT_CORE_H_
 #define GULLWARD_ENDPOINT_ENDPOINT_CORE_H_
@@ -50,23 +50,23 @@
 
 namespace gullward {
 
-// Names a connection to an entry, given out by the shell.
+// Identifies a connection to an entry.  The shell assigns the ids.
 using PeerId = uint64_t;
 
-// Finished attempts that are remembered, so that none is started again.
+// Number of attempt ids that are recorded so that no attempt is started twice.
 inline constexpr size_t kMaxRemembered = 100'000;
 
-// Prefixes of finished prompts that are reported for each engine.
+// Number of prefixes of finished prompts that are reported for each engine.
 inline constexpr size_t kReportedHints = 32;
 
-// Lists of allocations in a row that an engine may fail to answer before all of
-// its attempts are given up: a frozen engine breaks no connection.
+// Number of consecutive list requests that an engine must leave unanswered before all its attempts
+// are ended.  A frozen engine is found in no other way, since its connections stay open.
 inline constexpr int kMissesUntilLost = 2;
 
 // One engine as the settings describe it.
 struct EngineOptions {
   std::string name;
-  // Where other engines fetch KV cache from, "IP:PORT".
+  // Address from which other engines fetch KV cache, "IP:PORT".
   std::string address;
   std::string model;
   uint64_t memory_tokens = 0;
@@ -79,14 +79,14 @@
   std::string box;
   uint64_t incarnation = 0;
   std::vector<EngineOptions> engines;
-  // The plain service here; empty where there are engines.
+  // Name of the plain service; empty if the box has engines.
   std::string service;
   Duration lease = seconds(3);
   Duration sweep_period = seconds(5);
   Duration free_retry = seconds(1);
   double group_memory_share = 0.9;
   uint64_t long_tokens = 32768;
-  // Calls of the plain service that may run at once.
+  // Maximum number of concurrent calls of the plain service.
   size_t max_service_calls = 256;
 };
 
@@ -99,7 +99,7 @@
   bool operator==(const SendToPeer&) const = default;
 };
 
-// Start the attempt on its engine, under the allocation name ToString(id).
+// Start the attempt on its engine.  The allocation is named ToString(id).
 struct StartOnEngine {
   AttemptId id;
   uint32_t engine = 0;
@@ -133,7 +133,7 @@
   bool operator==(const CallService&) const = default;
 };
 
-// Break off a call of the plain service that may be repeated.
+// Cancel a repeatable call of the plain service.
 struct CancelService {
   AttemptId id;
 
@@ -151,32 +151,32 @@
   uint32_t tokens = 0;
 };
 
-// The engine finished an attempt well.  Unless it was a kept piece, the engine
-// has freed its memory.
+// The engine completed an attempt.  The engine has freed the attempt's memory, unless the attempt
+// is a piece that is kept.
 struct EngineFinished {
   std::string finish_reason;
   uint64_t prompt_tokens = 0;
   uint64_t cached_tokens = 0;
   uint64_t completion_tokens = 0;
-  // Time that the engine spent computing the prompt.
+  // Time that the engine took to prefill the prompt.
   double prefill_seconds = 0;
 };
 
-// The engine did not take the attempt or broke it off.
+// The engine refused the attempt or failed before the attempt was complete.
 struct EngineFailure {
   ResultCode code = ResultCode::kEngineFailed;
-  // kNo where the engine is known not to have seen or taken the call.
+  // kNo if the engine certainly did not receive or accept the call.
   Ran ran = Ran::kUnknown;
 };
 
-// A plain service's whole answer.
+// The complete answer of a plain service.
 struct ServiceAnswer {
   int status = 0;
   std::string content_type;
   std::string body;
 };
 
-// One allocation in an engine's own list.
+// One allocation as the engine lists it.
 struct EngineAllocation {
   std::string name;
   uint64_t tokens = 0;
@@ -192,7 +192,9 @@
   uint64_t failed = 0;
   uint64_t cancelled = 0;
   uint64_t leases_lapsed = 0;
+  // Allocations that belonged to no attempt.
   uint64_t swept = 0;
+  // Reserve and Offer messages for an id that was already recorded.
   uint64_t duplicates = 0;
 };
 
@@ -200,34 +202,34 @@
  public:
   EndpointCore(EndpointOptions options, Time now);
 
-  // Peers.
+  // Events from entries.
   void OnHello(PeerId peer, const Hello& hello, Time now);
   void OnMessage(PeerId peer, const Message& message, Time now);
   void OnPeerLost(PeerId peer, Time now);
 
-  // Engines and the service.
+  // Events from the engines and the service.
   void OnEngineOutput(const AttemptId& id, const EngineOutput& output, Time now);
   void OnEngineFinished(const AttemptId& id, const EngineFinished& finished, Time now);
-  void OnEngineFailure(const AttemptId& id, const EngineFailure& broken, Time now);
+  void OnEngineFailure(const AttemptId& id, const EngineFailure& failure, Time now);
   void OnEngineFreed(uint32_t engine, const std::string& allocation, bool freed, Time now);
   void OnAllocations(uint32_t engine, const std::vector<EngineAllocation>& list, Time now);
   void OnEngineUnreachable(uint32_t engine, Time now);
   void OnServiceAnswer(const AttemptId& id, const ServiceAnswer& answer, Time now);
 
-  // Begins to leave: new work is refused, waiting work handed back, running
-  // work finished.
+  // Starts draining: new attempts are refused, waiting attempts are returned to their entries and
+  // running attempts are completed.
   void Drain(Time now);
 
-  // What the configuration says of this box, applied when it changes.
+  // Applies the values of the configuration.  To be called when the configuration changes.
   void SetPolicy(double group_memory_share, uint64_t long_tokens, Time now);
 
-  // Deadlines, leases, retries of frees, sweeps.  Call it every 100 ms or so.
+  // Checks deadlines and leases, retries frees and starts sweeps.  To be called about every 100 ms.
   void Tick(Time now);
 
-  // The report to send to the entries now.
+  // Returns the load report to send to the entries.
   EndpointHeartbeat Heartbeat(int64_t config_offset, Time now);
 
-  // What is to be done since the last call.
+  // Returns the actions queued since the last call.
   std::vector<EndpointAction> TakeActions();
 
   // State, for dumps, metrics and tests.
@@ -254,17 +256,20 @@
     bool reserve_only = false;
     Time deadline;
     Offer offer;
+    // Chunks of the answer sent so far.
     uint64_t chunks = 0;
   };
 
   struct Peer {
     uint64_t incarnation = 0;
-    Time last_heard;
+    Time last_received;
     uint64_t last_dispatch = 0;
   };
 
-  struct Freeing {
+  // An allocation that is being freed on the engine.
+  struct PendingFree {
     AttemptId id;
+    // Whether the ledger counts the allocation; false for allocations without an attempt.
     bool in_ledger = false;
     Time next_try;
   };
@@ -276,11 +281,13 @@
     Ledger ledger;
     SpeedEstimator speed;
     PrefillBacklog backlog;
-    // Allocations that must go, by name; the ledger counts them until they do.
-    std::map<std::string, Freeing> freeing;
+    // Allocations to be freed, by name.  The ledger counts them until the engine has freed them.
+    std::map<std::string, PendingFree> freeing;
+    // Prefixes of finished prompts, the latest first.
     std::deque<CacheHint> hints;
+    // Whether the engine gets work: it answers, and its memory holds only attempts of this process.
     bool up = false;
-    // Lists in a row that the engine did not answer.
+    // Consecutive list requests that the engine did not answer.
     int misses = 0;
     Time next_sweep;
   };
@@ -290,17 +297,18 @@
   void OnServiceOffer(PeerId peer, const Offer& offer, Time now);
   void OnCancel(const Cancel& cancel, Time now);
   ResultCode CheckOffer(const Offer& offer) const;
-  void AskMemory(Attempt attempt, uint32_t value, Time arrival, Time now);
+  void RequestMemory(Attempt attempt, uint32_t value, Time arrival, Time now);
   void Start(Attempt* attempt, Time now);
   void StartGranted(const std::vector<AttemptId>& granted, Time now);
   void Refuse(PeerId peer, const AttemptId& id, uint32_t engine, ResultCode code);
-  void HandBack(const AttemptId& id, ResultCode code, Time now);
+  // Returns an attempt that was not run to its entry, with Refused.
+  void ReturnAsNotRun(const AttemptId& id, ResultCode code, Time now);
   void Fail(const AttemptId& id, ResultCode code, Ran ran, Time now);
-  // Fails what was started and hands back what was not.
-  void GiveUp(const AttemptId& id, ResultCode code, Time now);
-  // Whether the attempt must not be broken off, since nobody may run it again.
+  // Fails the attempt if it was started; otherwise returns it as not run.
+  void EndAttempt(const AttemptId& id, ResultCode code, Time now);
+  // Whether the attempt must not be cancelled, because it is running and may not be repeated.
   static bool MustFinish(const Attempt& attempt);
-  // Ends an attempt here; `on_engine` says whether the engine may hold memory.
+  // Removes an attempt.  `on_engine` states whether the engine may still hold memory for it.
   void Remove(const AttemptId& id, bool on_engine, Time now);
   void Release(uint32_t engine, const AttemptId& id, Time now);
   void Remember(const AttemptId& id);
@@ -310,13 +318,15 @@
   void RetryFrees(Time now);
   void Send(PeerId peer, Message message);
   uint64_t RetryAfterMillis(uint32_t engine) const;
-  void LearnHints(Engine* engine, const Offer& offer);
+  void RecordHints(Engine* engine, const Offer& offer);
   Attempt* Find(const AttemptId& id);
 
   EndpointOptions settings;
   std::vector<Engine> engines;
   std::map<PeerId, Peer> peers;
+  // Attempts that have not ended.
   std::map<AttemptId, Attempt> live;
+  // Recorded ids of live and ended attempts, and the order in which they were recorded.
   std::set<AttemptId> seen;
   std::deque<AttemptId> seen_order;
   bool leaving = false;
--- a/src/endpoint/endpoint_server.cc
+++ b/src/endpoint/endpoint_server.cc
@@ -1,4 +1,4 @@
-// endpoint_server.h tells the parts.
+// The network side of an endpoint process; endpoint_server.h gives an overview.
 
 #include "endpoint/endpoint_server.h"
 
@@ -66,10 +66,10 @@
                  this->core.OnEngineFinished(id, finished, Now());
                  this->PerformActions();
                },
-               [this](const AttemptId& id, const EngineFailure& broken) {
+               [this](const AttemptId& id, const EngineFailure& failure) {
                  LOG(WARNING) << "request " << ToString(id)
-                              << " broke on the engine: " << Info(broken.code).name;
-                 this->core.OnEngineFailure(id, broken, Now());
+                              << " failed on the engine: " << Info(failure.code).name;
+                 this->core.OnEngineFailure(id, failure, Now());
                  this->PerformActions();
                },
                [this](uint32_t engine, const std::string& allocation, bool freed) {
@@ -96,7 +96,7 @@
 
 EndpointServer::~EndpointServer() {
   this->admin.Stop();
-  // Taken out first, so that the closed hooks find nobody to report.
+  // The map is emptied first, so that the closed hooks find no peer and report nothing.
   for (auto& [id, peer] : std::exchange(this->peers, {})) {
     peer.connection->Close(absl::CancelledError("stopping"));
   }
@@ -148,13 +148,13 @@
   if (found == this->peers.end()) return;
   if (const auto* hello = std::get_if<Hello>(&message)) {
     if (hello->protocol != kProtocolVersion) {
-      connection->Close(absl::FailedPreconditionError("another protocol version"));
+      connection->Close(absl::FailedPreconditionError("protocol version not supported"));
       return;
     }
-    found->second.greeted = true;
+    found->second.has_greeted = true;
     LOG(INFO) << "entry " << hello->box << " connected";
     this->core.OnHello(id, *hello, Now());
-    // The entry can send work as soon as it knows the engines.
+    // The entry can send offers as soon as it has the list of engines, so it gets a report at once.
     connection->Send(this->core.Heartbeat(this->follower.state().offset(), Now()));
     return;
   }
@@ -174,7 +174,7 @@
   PeerId id = this->IdOf(connection);
   if (id == 0) return;
   if (absl::IsInvalidArgument(reason)) ++this->bad_frames;
-  LOG(WARNING) << "connection of an entry closed: " << reason.message();
+  LOG(WARNING) << "connection to an entry closed: " << reason.message();
   this->peers.erase(id);
   this->core.OnPeerLost(id, Now());
   this->PerformActions();
@@ -185,7 +185,7 @@
   this->core.SetPolicy(routing.group_memory_share, static_cast<uint64_t>(routing.long_tokens),
                        Now());
   if (this->follower.state().Find({"leaving", this->settings.box}) != nullptr) {
-    LOG(INFO) << "the configuration has this box leave";
+    LOG(INFO) << "draining: the configuration lists this box as leaving";
     this->core.Drain(Now());
   }
   this->PerformActions();
@@ -196,7 +196,7 @@
   if (this->peers.empty()) return;
   EndpointHeartbeat heartbeat = this->core.Heartbeat(this->follower.state().offset(), Now());
   for (const auto& [id, peer] : this->peers) {
-    if (peer.greeted) peer.connection->Send(heartbeat);
+    if (peer.has_greeted) peer.connection->Send(heartbeat);
   }
 }
 
@@ -329,7 +329,7 @@
     this->loop->Stop();
     return;
   }
-  LOG(INFO) << "draining: " << this->core.attempts() << " attempts here";
+  LOG(INFO) << "draining: " << this->core.attempts() << " attempts under way";
   this->stopping = true;
   this->core.Drain(Now());
   this->PerformActions();
@@ -339,9 +339,10 @@
 }
 
 void EndpointServer::StopWhenIdle() {
-  bool sent = true;
-  for (const auto& [id, peer] : this->peers) sent = sent && peer.connection->queued_bytes() == 0;
-  bool idle = this->core.attempts() == 0 && sent;
+  bool all_sent = true;
+  for (const auto& [id, peer] : this->peers)
+    all_sent = all_sent && peer.connection->queued_bytes() == 0;
+  bool idle = this->core.attempts() == 0 && all_sent;
   if (!idle && Now() < this->stop_at) {
     this->loop->RunAfter(kStopPoll, [this] { this->StopWhenIdle(); });
     return;
--- a/src/endpoint/endpoint_server.h
+++ b/src/endpoint/endpoint_server.h
@@ -1,6 +1,5 @@
-// The shell of an endpoint process: frames from entries, HTTP to the engines or
-// the plain service, the platform's log, all tied to an EndpointCore on one
-// event loop.
+// Connects an EndpointCore to the network: frames from entries, HTTP calls to the engines or the
+// plain service, and the platform's log.  Everything runs on one event loop.
 //
 //   EndpointServer server(&loop, settings, incarnation);
 //   absl::Status status = server.Start();
@@ -28,16 +27,18 @@
   EndpointServer(EventLoop* loop, const EndpointSettings& settings, uint64_t incarnation);
   ~EndpointServer();
 
-  // Listens and begins to follow the log and the engines.
+  // Listens for entries and operators, and starts to follow the log and to poll the engines.
   absl::Status Start();
 
-  // Hands back waiting work, finishes running work, then stops the loop.
+  // Returns waiting attempts to their entries, completes running attempts and then stops the loop.
+  // A second call stops the loop at once.
   void DrainAndStop();
 
  private:
   struct Peer {
     std::shared_ptr<FrameConnection> connection;
-    bool greeted = false;
+    // Whether the entry has sent Hello.
+    bool has_greeted = false;
   };
 
   void OnOpened(FrameConnection* connection);
@@ -68,9 +69,11 @@
   FrameServer server;
   AdminServer admin;
   std::map<PeerId, Peer> peers;
+  // Calls of the plain service under way, by attempt, as HttpClient numbers them.
   std::map<AttemptId, uint64_t> service_calls;
   PeerId next_peer = 1;
   uint64_t bad_frames = 0;
+  // When to stop even if attempts are still running.
   Time stop_at;
   bool stopping = false;
 };
--- a/src/endpoint/engine_client.cc
+++ b/src/endpoint/engine_client.cc
@@ -1,4 +1,4 @@
-// The engines' verbs; docs/ENGINES.md describes them.
+// The HTTP calls to engines; docs/ENGINES.md describes the API.
 
 #include "endpoint/engine_client.h"
 
@@ -12,9 +12,9 @@
 
 constexpr Duration kControlTimeout = seconds(2);
 constexpr char kDataPrefix[] = "data: ";
-constexpr char kDoneMark[] = "[DONE]";
+constexpr char kDoneMarker[] = "[DONE]";
 
-uint64_t Count(const json& object, const char* name) {
+uint64_t ReadCount(const json& object, const char* name) {
   auto found = object.find(name);
   return found != object.end() && found->is_number_unsigned() ? found->get<uint64_t>() : 0;
 }
@@ -42,8 +42,8 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// What a refusal by the engine means: it says so before it starts anything.
-EngineFailure RefusalOf(int status) {
+// Interprets the status of an engine's refusal.  An engine refuses an attempt before it starts it.
+EngineFailure FailureOfStatus(int status) {
   if (status == 507) return {ResultCode::kNoMemory, Ran::kNo};
   if (status >= 400 && status < 500) return {ResultCode::kStaleOffer, Ran::kNo};
   if (status == 503) return {ResultCode::kEngineFailed, Ran::kNo};
@@ -66,7 +66,8 @@
   call.url = this->Url(start.engine, "/v1/completions");
   call.headers = {{"Content-Type", "application/json"}};
   call.body = StartBody(start);
-  // The core ends the attempt at its deadline; this only bounds a lost call.
+  // EndpointCore ends the attempt at its deadline; this timeout only bounds calls without an
+  // answer.
   call.timeout = start.time_left + seconds(5);
   call.repeatable = false;
   AttemptId id = start.id;
@@ -79,19 +80,19 @@
 void EngineClient::OnData(const AttemptId& id, const std::string& part) {
   auto found = this->streams.find(id);
   if (found == this->streams.end()) return;
-  found->second.any = true;
-  found->second.unread += part;
-  // Tokens that came together are passed on together.
+  found->second.has_data = true;
+  found->second.unparsed += part;
+  // Tokens that arrive together are passed on in one call.
   std::string text;
   uint32_t tokens = 0;
-  std::string& unread = found->second.unread;
+  std::string& unparsed = found->second.unparsed;
   size_t start = 0;
-  for (size_t end = unread.find("\n\n"); end != std::string::npos;
-       end = unread.find("\n\n", start)) {
-    this->OnEvent(id, unread.substr(start, end - start), &text, &tokens);
+  for (size_t end = unparsed.find("\n\n"); end != std::string::npos;
+       end = unparsed.find("\n\n", start)) {
+    this->OnEvent(id, unparsed.substr(start, end - start), &text, &tokens);
     start = end + 2;
   }
-  unread.erase(0, start);
+  unparsed.erase(0, start);
   if (tokens > 0) this->hooks.output(id, {std::move(text), tokens});
 }
 
@@ -99,7 +100,7 @@
                            uint32_t* tokens) {
   if (event.compare(0, sizeof(kDataPrefix) - 1, kDataPrefix) != 0) return;
   std::string data = event.substr(sizeof(kDataPrefix) - 1);
-  if (data == kDoneMark) return;
+  if (data == kDoneMarker) return;
   json value = json::parse(data, nullptr, false);
   if (!value.is_object()) return;
   auto choices = value.find("choices");
@@ -108,7 +109,7 @@
     auto piece = choice.find("text");
     if (piece != choice.end() && piece->is_string()) {
       *text += piece->get_ref<const std::string&>();
-      *tokens += static_cast<uint32_t>(Count(choice, "tokens"));
+      *tokens += static_cast<uint32_t>(ReadCount(choice, "tokens"));
     }
     auto reason = choice.find("finish_reason");
     if (reason != choice.end() && reason->is_string()) {
@@ -119,9 +120,9 @@
   auto usage = value.find("usage");
   if (usage == value.end() || !usage->is_object()) return;
   Stream& stream = this->streams[id];
-  stream.finished.prompt_tokens = Count(*usage, "prompt_tokens");
-  stream.finished.cached_tokens = Count(*usage, "cached_tokens");
-  stream.finished.completion_tokens = Count(*usage, "completion_tokens");
+  stream.finished.prompt_tokens = ReadCount(*usage, "prompt_tokens");
+  stream.finished.cached_tokens = ReadCount(*usage, "cached_tokens");
+  stream.finished.completion_tokens = ReadCount(*usage, "completion_tokens");
   auto prefill = value.find("prefill_seconds");
   if (prefill != value.end() && prefill->is_number()) {
     stream.finished.prefill_seconds = prefill->get<double>();
@@ -137,16 +138,17 @@
   if (stream.complete) {
     this->hooks.finished(id, stream.finished);
   } else if (!result.connected) {
-    this->hooks.broken(id, {ResultCode::kEngineFailed, Ran::kNo});
+    this->hooks.failed(id, {ResultCode::kEngineFailed, Ran::kNo});
   } else if (result.complete && result.status != 200) {
-    this->hooks.broken(id, RefusalOf(result.status));
+    this->hooks.failed(id, FailureOfStatus(result.status));
   } else {
-    this->hooks.broken(id, {ResultCode::kEngineFailed, stream.any ? Ran::kYes : Ran::kUnknown});
+    this->hooks.failed(id,
+                       {ResultCode::kEngineFailed, stream.has_data ? Ran::kYes : Ran::kUnknown});
   }
 }
 
 void EngineClient::Free(uint32_t engine, const std::string& allocation) {
-  // The stream's own call ends with its allocation; nobody reads it any more.
+  // The streamed call ends with its allocation, and its remaining output is not needed.
   for (auto it = this->streams.begin(); it != this->streams.end(); ++it) {
     if (ToString(it->first) != allocation) continue;
     this->http->Cancel(it->second.call);
@@ -177,7 +179,7 @@
     std::vector<EngineAllocation> allocations;
     for (const json& item : list) {
       if (!item.is_object() || !item.contains("name") || !item["name"].is_string()) continue;
-      allocations.push_back({item["name"].get<std::string>(), Count(item, "tokens")});
+      allocations.push_back({item["name"].get<std::string>(), ReadCount(item, "tokens")});
     }
     this->hooks.listed(engine, allocations);
   };
--- a/src/endpoint/ledger.cc
+++ b/src/endpoint/ledger.cc
@@ -1,4 +1,4 @@
-// ledger.h tells the rules.
+// The memory ledger of one engine; ledger.h describes the rules.
 
 #include "endpoint/ledger.h"
 
@@ -16,12 +16,12 @@
 
 bool Ledger::Fits(const MemoryClaim& claim) const {
   if (claim.tokens > this->free()) return false;
-  return !this->Large(claim) || this->held_by_large + claim.tokens <= this->large_tokens;
+  return !this->IsLarge(claim) || this->held_by_large + claim.tokens <= this->large_tokens;
 }
 
 bool Ledger::MayPass(const MemoryClaim& claim, const MemoryClaim& first) const {
-  bool harmless = claim.tokens + first.tokens <= this->free() && !this->Large(claim);
-  return harmless || this->held_by_passed + claim.tokens <= this->FloorTokens();
+  bool leaves_room = claim.tokens + first.tokens <= this->free() && !this->IsLarge(claim);
+  return leaves_room || this->held_by_passed + claim.tokens <= this->SmallShareTokens();
 }
 
 bool Ledger::GroupMayWait(const MemoryClaim& claim) const {
@@ -36,18 +36,18 @@
 }
 
 void Ledger::Hold(const MemoryClaim& claim, bool passed) {
-  this->held[claim.id] = {claim, passed, this->Large(claim)};
+  this->held[claim.id] = {claim, passed, this->IsLarge(claim)};
   this->held_tokens += claim.tokens;
-  if (this->Large(claim)) this->held_by_large += claim.tokens;
+  if (this->IsLarge(claim)) this->held_by_large += claim.tokens;
   if (passed) this->held_by_passed += claim.tokens;
 }
 
-Grant Ledger::Ask(const MemoryClaim& claim, std::vector<AttemptId>* displaced) {
+Grant Ledger::Request(const MemoryClaim& claim, std::vector<AttemptId>* displaced) {
   if (this->Holds(claim.id)) return Grant::kGranted;
   Rank rank = RankOf(claim);
   if (this->waiting.count(rank) > 0) return Grant::kWaiting;
-  uint64_t most = this->Large(claim) ? this->large_tokens : this->total_tokens;
-  if (claim.tokens > most) return Grant::kRefused;
+  uint64_t limit = this->IsLarge(claim) ? this->large_tokens : this->total_tokens;
+  if (claim.tokens > limit) return Grant::kRefused;
 
   bool first = this->waiting.empty() || rank < this->waiting.begin()->first;
   if (this->Fits(claim) && (first || this->MayPass(claim, this->waiting.begin()->second))) {
@@ -57,7 +57,7 @@
   if (this->waiting.size() >= kMaxWaiting) return Grant::kRefused;
   if (claim.group && !this->GroupMayWait(claim)) return Grant::kRefused;
   if (claim.group) {
-    // A group that now has one ranked before it may not wait any longer.
+    // This claim ranks before all other groups, so the waiting groups may not wait any longer.
     for (auto it = this->waiting.begin(); it != this->waiting.end();) {
       if (!it->second.group) {
         ++it;
@@ -71,8 +71,8 @@
   return Grant::kWaiting;
 }
 
-Freed Ledger::Free(const AttemptId& id) {
-  Freed freed;
+FreeResult Ledger::Free(const AttemptId& id) {
+  FreeResult result;
   auto found = this->held.find(id);
   if (found != this->held.end()) {
     const Holding& holding = found->second;
@@ -80,17 +80,17 @@
     if (holding.large) this->held_by_large -= holding.claim.tokens;
     if (holding.passed) this->held_by_passed -= holding.claim.tokens;
     this->held.erase(found);
-    freed.known = true;
+    result.known = true;
   } else {
     auto waiter = std::find_if(this->waiting.begin(), this->waiting.end(),
                                [&](const auto& item) { return item.second.id == id; });
     if (waiter != this->waiting.end()) {
       this->waiting.erase(waiter);
-      freed.known = true;
+      result.known = true;
     }
   }
-  freed.granted = this->GrantWaiters();
-  return freed;
+  result.granted = this->GrantWaiters();
+  return result;
 }
 
 std::vector<AttemptId> Ledger::SetLargeShare(double large_share) {
@@ -117,10 +117,10 @@
 uint64_t Ledger::available() const {
   if (this->waiting.empty()) return this->free();
   uint64_t first = this->waiting.begin()->second.tokens;
-  uint64_t harmless = this->free() > first ? this->free() - first : 0;
-  uint64_t floor = this->FloorTokens();
-  uint64_t passing = floor > this->held_by_passed ? floor - this->held_by_passed : 0;
-  return std::max(harmless, std::min(passing, this->free()));
+  uint64_t spare = this->free() > first ? this->free() - first : 0;
+  uint64_t small_share = this->SmallShareTokens();
+  uint64_t passing = small_share > this->held_by_passed ? small_share - this->held_by_passed : 0;
+  return std::max(spare, std::min(passing, this->free()));
 }
 
 bool Ledger::IsConsistent() const {
--- a/src/endpoint/ledger.h
+++ b/src/endpoint/ledger.h
@@ -1,39 +1,40 @@
-// Who holds how much of one engine's KV-cache memory, and who waits for it.
+// Allocates the KV-cache memory of one engine, in tokens, to attempts, and queues the attempts
+// that must wait for memory.
 //
-// The endpoint process owns its engines' memory: nothing is started on an
-// engine before the ledger has granted the tokens that it can come to need
-// (prompt and answer), so an engine is never asked for more than it has.  At
-// every moment held + free = total.
+// An attempt starts on an engine only after the ledger has granted all tokens that the attempt may
+// need (prompt and answer), so an engine is never asked for more memory than it has.  At any time
+// held + free = total.
 //
 //   Ledger ledger(400'000, 0.9);
-//   switch (ledger.Ask({id, 2'000, value, arrival})) {
-//     case Grant::kGranted: ...          // start it
-//     case Grant::kWaiting: ...          // a later Free will name it
-//     case Grant::kRefused: ...          // not run, now or ever
+//   std::vector<AttemptId> displaced;
+//   switch (ledger.Request({id, 2'000, value, arrival}, &displaced)) {
+//     case Grant::kGranted: ...             // start the attempt
+//     case Grant::kWaiting: ...             // a later Free returns the id as granted
+//     case Grant::kRefused: ...             // nothing is held; the attempt was not run
 //   }
-//   Freed freed = ledger.Free(id);       // freed.granted may start now
+//   FreeResult result = ledger.Free(id);    // the attempts in result.granted may start now
 //
-// Rank.  Claims are ranked by arrival, moved forward by kAgePerValue for each
-// unit of value: a valuable request overtakes, but only so far, so that no rank
-// is overtaken for ever.
+// Rank.  Claims are served in the order of arrival, where each unit of value counts as kAgePerValue
+// of additional age.  A valuable request overtakes others by a bounded time only, so every claim
+// becomes the first one in the end.
 //
-// The short's place.  A large claim (a group's, or one of more tokens than the
-// floor) may use a share of the memory only, so that the rest, the floor, is left
-// for shorts whatever binders and manuals do.
+// Memory for small claims.  IsLarge claims together may hold a share of the memory only.  The rest
+// is the small share; it stays available to short prompts however many long prompts there are.  A
+// claim is large if it belongs to a group or needs more tokens than the small share.
 //
-// Nobody starves.  The first waiter in rank has all memory that comes free
-// earmarked for it.  Claims behind it may pass where that leaves the first its
-// memory, and else only as much as the floor in all: shorts go on being served
-// while a binder waits, and still cannot keep it waiting.
+// No starvation.  Memory that becomes free is reserved for the waiting claim of the lowest rank.
+// A small claim behind it may be granted if enough memory remains for the first claim.  Any other
+// claim may be granted ahead of the first one only if all claims granted ahead of a waiting claim,
+// together with it, hold no more than the small share.  So short prompts are served while a long
+// one waits, but they cannot delay it without end.
 //
-// No deadlock.  A prompt larger than one engine holds memory on several, so two
-// such groups could wait for each other.  Wait-die forbids it: a group may wait
-// only if it ranks before every group that holds or awaits memory here, so a
-// group never waits for one that ranks before it, and waits cannot form a
-// circle.  A group that may not wait is refused and comes back with its old
-// arrival time, so its rank only improves.
+// No deadlock.  A prompt that is too large for one engine holds memory on several engines, so two
+// groups could wait for each other.  The ledger prevents this by the wait-die rule: a group may
+// wait only if it ranks before every group that holds or waits for memory here.  So no group waits
+// for a group that ranks before it, and waits cannot form a cycle.  A group that may not wait is
+// refused; its request comes again with the original arrival time, so its rank only improves.
 //
-// Cost: Ask and Free are linear in the claims of one engine (a few hundred).
+// Cost: Request and Free are linear in the number of claims on one engine (a few hundred).
 
 #ifndef GULLWARD_ENDPOINT_LEDGER_H_
 #define GULLWARD_ENDPOINT_LEDGER_H_
@@ -48,69 +49,71 @@
 
 namespace gullward {
 
-// How much earlier a claim ranks for each unit of its value.
+// The additional age that one unit of value adds to a claim's rank.
 inline constexpr Duration kAgePerValue = seconds(1);
 
-// Claims that may wait on one engine; more are refused.
+// Claims that may wait for one engine's memory; further claims are refused.
 inline constexpr size_t kMaxWaiting = 256;
 
 enum class Grant { kGranted, kWaiting, kRefused };
 
-// A wish for memory.
+// A request for memory.
 struct MemoryClaim {
   AttemptId id;
   uint64_t tokens = 0;
   uint32_t value = 0;
-  // When the request arrived at its entry, not when this claim was made.
+  // When the request arrived at its entry, which is earlier than the time of this claim.
   Time arrival;
-  // Whether this is one piece of a prompt that holds memory on other engines.
+  // Whether the claim is for one piece of a prompt whose other pieces hold memory on other engines.
   bool group = false;
 
   bool operator==(const MemoryClaim&) const = default;
 };
 
-// What giving memory back led to.
-struct Freed {
-  // Whether the id held or awaited memory.
+struct FreeResult {
+  // Whether the id held memory or waited for memory.
   bool known = false;
+  // Attempts that waited and were granted memory by this call.
   std::vector<AttemptId> granted;
 };
 
 class Ledger {
  public:
-  // large_share is the part of the memory that large claims may hold, in [0, 1].
+  // `large_share` is the fraction of the memory that large claims may hold, in [0, 1].
   Ledger(uint64_t total_tokens, double large_share);
 
-  // Asks for memory.  Asking again with an id that holds or waits changes
-  // nothing and tells its state.  `displaced` gets the id of a group that may
-  // no longer wait; it has been dropped and must be refused by the caller.
-  Grant Ask(const MemoryClaim& claim, std::vector<AttemptId>* displaced);
+  // Requests memory.  If the id already holds or waits for memory, the call changes nothing and
+  // returns the state of the id.  The ids of groups that may no longer wait because of this claim
+  // are added to `displaced`; they have been removed from the ledger and the caller must refuse
+  // them.
+  Grant Request(const MemoryClaim& claim, std::vector<AttemptId>* displaced);
 
-  // Gives back what the id holds, or ends its wait.  Safe to repeat.
-  Freed Free(const AttemptId& id);
+  // Frees the memory that the id holds, or ends its wait.  Safe to repeat.
+  FreeResult Free(const AttemptId& id);
 
-  // Changes the share that large claims may hold, and grants what that allows.
+  // Changes the fraction that large claims may hold.  Returns the waiting claims that are granted
+  // by this change.
   std::vector<AttemptId> SetLargeShare(double large_share);
 
   uint64_t total() const { return this->total_tokens; }
   uint64_t free() const { return this->total_tokens - this->held_tokens; }
-  // What a new small claim could get now, past those that wait.
+  // Tokens that a new small claim could be granted now, ahead of the claims that wait.
   uint64_t available() const;
   size_t holders() const { return this->held.size(); }
   size_t waiters() const { return this->waiting.size(); }
   bool Holds(const AttemptId& id) const { return this->held.count(id) > 0; }
 
-  // Whether the counters agree with the claims: held + free = total.  For tests.
+  // Whether the counters match the claims and held + free = total.  For tests.
   bool IsConsistent() const;
 
  private:
-  // The lower, the earlier served.
+  // Lower ranks are served first.
   using Rank = std::pair<Time, AttemptId>;
 
   static Rank RankOf(const MemoryClaim& claim);
-  uint64_t FloorTokens() const { return this->total_tokens - this->large_tokens; }
-  bool Large(const MemoryClaim& claim) const {
-    return claim.group || claim.tokens > this->FloorTokens();
+  uint64_t SmallShareTokens() const { return this->total_tokens - this->large_tokens; }
+  bool IsLarge(const MemoryClaim& claim) const {
+    return claim.group || claim.tokens > this->SmallShareTokens();
   }
   bool Fits(const MemoryClaim& claim) const;
   bool MayPass(const MemoryClaim& claim, const MemoryClaim& first) const;
@@ -120,9 +123,9 @@
 
   struct Holding {
     MemoryClaim claim;
-    // Whether it was granted past a waiter that ranked before it.
+    // Whether the claim was granted while a claim of lower rank was waiting.
     bool passed = false;
-    // Whether it counted as large when it was granted.
+    // Whether the claim was large when it was granted; the limit may have changed since.
     bool large = false;
   };
 
--- a/src/endpoint/main.cc
+++ b/src/endpoint/main.cc
@@ -1,4 +1,4 @@
-// gullward-endpoint: stands in front of a box's engines, or of a plain service.
+// gullward-endpoint: runs requests on a box's engines, or calls its plain service.
 
 #include "endpoint/endpoint_server.h"
 #include "endpoint/settings.h"
--- a/src/endpoint/prefill_backlog.cc
+++ b/src/endpoint/prefill_backlog.cc
@@ -1,4 +1,4 @@
-// prefill_backlog.h tells the method.
+// The simulated prefill queue of an engine; prefill_backlog.h describes the method.
 
 #include "endpoint/prefill_backlog.h"
 
@@ -8,10 +8,10 @@
 
 void PrefillBacklog::Add(const AttemptId& id, uint32_t priority, double backlog_seconds) {
   Item item{id, std::min(priority, kPriorities - 1), backlog_seconds};
-  auto place =
+  auto position =
       std::upper_bound(this->items.begin(), this->items.end(), item,
                        [](const Item& a, const Item& b) { return a.priority < b.priority; });
-  this->items.insert(place, item);
+  this->items.insert(position, item);
 }
 
 void PrefillBacklog::Remove(const AttemptId& id) {
@@ -21,8 +21,8 @@
 }
 
 void PrefillBacklog::AdvanceTo(Time now) {
-  double left = ToSeconds(now - this->last);
-  this->last = now;
+  double left = ToSeconds(now - this->last_update);
+  this->last_update = now;
   for (Item& item : this->items) {
     if (left <= 0) return;
     double spent = std::min(left, item.seconds);
--- a/src/endpoint/prefill_backlog.h
+++ b/src/endpoint/prefill_backlog.h
@@ -1,14 +1,14 @@
-// What an engine still has to prefill, as far as the endpoint process can tell.
+// Estimates the prefill work that an engine has not done yet.
 //
-// The engine's own load report lags.  The endpoint process knows what it has
-// started and how long each prefill should take, so it follows the engine in
-// thought: time that passes is spent on the most urgent prefill first, in order
-// of start.  A first token corrects it: that prefill is over, whatever was
-// thought to remain.
+// The engine's own load report is delayed.  The endpoint process has the list of prefills that it
+// started and an estimate of the time of each, so it simulates the engine: elapsed time is
+// deducted from the most urgent prefill first, and among equal priorities in the order of start.
+// The first token of an answer corrects the estimate, because it shows that this prefill has ended
+// whatever the estimate of its remaining time.
 //
 //   backlog.Add(id, priority, seconds);
 //   backlog.AdvanceTo(now);
-//   backlog.Remove(id);                       // first token, or the end
+//   backlog.Remove(id);                       // at the first token or the end of the attempt
 //   std::vector<double> by_priority = backlog.Millis();
 
 #ifndef GULLWARD_ENDPOINT_PREFILL_BACKLOG_H_
@@ -22,21 +22,22 @@
 
 namespace gullward {
 
-// Priorities that engines honour; 0 is served first.
+// The number of priorities that engines support; 0 is served first.
 inline constexpr uint32_t kPriorities = 8;
 
 class PrefillBacklog {
  public:
-  // Notes a prefill of so many seconds that has been started.
+  // Adds a prefill that has been started and should take `seconds`.  Priorities of kPriorities and
+  // above count as the last one.
   void Add(const AttemptId& id, uint32_t priority, double seconds);
 
-  // Notes that a prefill is over.  Unknown ids are ignored.
+  // Removes a prefill that has ended.  Unknown ids are ignored.
   void Remove(const AttemptId& id);
 
-  // Spends the time since the last call.
+  // Deducts the time since the last call from the remaining work.
   void AdvanceTo(Time now);
 
-  // Remaining milliseconds by priority.
+  // Returns the remaining milliseconds of each priority.
   std::vector<double> Millis() const;
 
  private:
@@ -46,8 +47,9 @@
     double seconds;
   };
 
+  // Ordered by priority, then by start.
   std::vector<Item> items;
-  Time last;
+  Time last_update;
 };
 
 }  // namespace gullward
--- a/src/endpoint/settings.h
+++ b/src/endpoint/settings.h
@@ -13,21 +13,26 @@
 namespace gullward {
 
 struct EndpointSettings {
+  // Name of this box and its data centre.
   std::string box;
   std::string zone;
+  // Addresses on which entries and operators connect.
   SocketAddress listen;
   SocketAddress admin;
+  // Address of the platform's log, "IP:PORT".
   std::string platform;
   std::vector<EngineOptions> engines;
-  // Name and address of the plain service, where there is one.
+  // Name and address of the plain service; empty if the box has engines.
   std::string service;
   std::string service_address;
+  // How long an entry's attempts run on after its last message.
   Duration lease{};
   Duration sweep_period{};
+  // How long a stop waits for attempts under way.
   Duration drain_timeout{};
 };
 
-// Reads the table; mistakes are noted in `errors`.
+// Reads the settings from a parsed file; every mistake is added to `errors`.
 EndpointSettings ReadEndpointSettings(const toml::table& table, const std::string& file,
                                       std::vector<ConfigError>* errors);
 
--- a/src/endpoint/speed_estimator.cc
+++ b/src/endpoint/speed_estimator.cc
@@ -1,4 +1,4 @@
-// Recursive least squares with two unknowns; speed_estimator.h tells what for.
+// Recursive least squares with two unknowns; speed_estimator.h describes the model.
 
 #include "endpoint/speed_estimator.h"
 
@@ -7,31 +7,31 @@
 namespace gullward {
 namespace {
 
-// Features are scaled to thousands of tokens and millions of pairs, so that
-// both columns are of like size for the prompts that we see.
+// Features are scaled to thousands of tokens and millions of pairs, so that both have a similar
+// magnitude for usual prompts.
 constexpr double kTokenScale = 1e3;
 constexpr double kPairScale = 1e6;
 
-// Weight that an observation keeps after each later one.
+// Factor by which each new observation reduces the weight of the earlier ones.
 constexpr double kForgetting = 0.95;
 
-// Uncertainty of the first guess, in scaled units: large, so that it yields.
+// Variance of the initial estimate, in scaled units; large, so that observations soon outweigh it.
 constexpr double kInitialVariance = 1.0;
 
-// Bounds the uncertainty, which forgetting would let grow without end while all
-// prompts are alike.
+// Upper bound of the variance.  Without it, forgetting would let the variance grow without limit
+// while all prompts have similar lengths.
 constexpr double kMaxVariance = 100.0;
 
 }  // namespace
 
-SpeedEstimator::SpeedEstimator(const PrefillSpeed& guess)
-    : estimate(guess), p00(kInitialVariance), p01(0), p11(kInitialVariance) {}
+SpeedEstimator::SpeedEstimator(const PrefillSpeed& initial)
+    : estimate(initial), p00(kInitialVariance), p01(0), p11(kInitialVariance) {}
 
 void SpeedEstimator::Observe(uint64_t cached, uint64_t prompt, double seconds) {
   if (prompt <= cached || !(seconds >= 0)) return;
   double x0 = static_cast<double>(prompt - cached) / kTokenScale;
   double x1 = TokenPairs(cached, prompt) / kPairScale;
-  // Long prompts must not drown short ones: weigh by the relative error.
+  // Weigh by the relative error; otherwise long prompts would outweigh short ones.
   double weight = 1.0 / (x0 * x0 + x1 * x1);
   double w0 = this->estimate.seconds_per_token * kTokenScale;
   double w1 = this->estimate.seconds_per_token_pair * kPairScale;
@@ -47,7 +47,8 @@
   this->p00 = std::min((this->p00 - k0 * g0) / kForgetting, kMaxVariance);
   this->p01 = (this->p01 - k0 * g1) / kForgetting;
   this->p11 = std::min((this->p11 - k1 * g1) / kForgetting, kMaxVariance);
-  // A bounded diagonal needs a bounded corner, or the matrix loses its sense.
+  // Since the diagonal is bounded, the element beside it must be bounded too; otherwise the matrix
+  // becomes meaningless.
   this->p01 = std::clamp(this->p01, -kMaxVariance, kMaxVariance);
 
   this->estimate.seconds_per_token = std::max(w0 / kTokenScale, 1e-9);
--- a/src/endpoint/speed_estimator.h
+++ b/src/endpoint/speed_estimator.h
@@ -1,16 +1,16 @@
-// Learns how fast one engine prefills, from prefills that it has finished.
+// Estimates the prefill speed of one engine from the prefills that it has finished.
 //
-// Prefilling the tokens from c (cached) to p (all) costs two things: work that
-// is the same for each token, and attention, where each token looks at all
-// before it.  The second is the area of a trapezoid, (p^2 - c^2) / 2; this is
-// the sum that the TTFT router of vllm-project/production-stack PR #670 uses
-// alone, assuming that all engines are equally fast.  Here both terms have a
-// coefficient of their own for each engine:
+// If c tokens of a prompt are cached, prefilling the remaining tokens of a prompt of p tokens has
+// two costs: work that is equal for every token, and attention, which compares each token with all
+// tokens before it.  The attention cost is proportional to the area of a trapezoid,
+// (p^2 - c^2) / 2.  The TTFT router of vllm-project/production-stack (PR #670) uses the attention
+// cost alone and assumes that all engines are equally fast.  Here each engine has a coefficient of
+// its own for each term:
 //
 //   seconds = a * (p - c) + b * (p^2 - c^2) / 2
 //
-// a and b are fitted by recursive least squares with forgetting, so an engine
-// that turns slow is known to be slow after a few answers.
+// a and b are fitted by recursive least squares with exponential forgetting, so the estimate
+// follows an engine that becomes slow within a few answers.
 //
 //   SpeedEstimator speed(PrefillSpeed{5e-5, 1e-10});
 //   speed.Observe(cached, prompt, seconds);
@@ -27,17 +27,19 @@
 
 class SpeedEstimator {
  public:
-  // Starts from a guess, which a few observations outweigh.
-  explicit SpeedEstimator(const PrefillSpeed& guess);
+  // Starts from an initial estimate, which a few observations outweigh.
+  explicit SpeedEstimator(const PrefillSpeed& initial);
 
-  // Takes one finished prefill.  Observations of no tokens are ignored.
+  // Updates the estimate with one finished prefill.  Observations without computed tokens are
+  // ignored.
   void Observe(uint64_t cached_tokens, uint64_t prompt_tokens, double seconds);
 
   const PrefillSpeed& speed() const { return this->estimate; }
 
  private:
   PrefillSpeed estimate;
-  // Inverse of the weighted sum of products, in scaled units.
+  // The symmetric 2x2 matrix of recursive least squares, in scaled units: the inverse of the
+  // weighted sum of the products of the features.
   double p00;
   double p01;
   double p11;
--- a/src/endpoint/testing/endpoint_core_test.cc
+++ b/src/endpoint/testing/endpoint_core_test.cc
@@ -1,5 +1,5 @@
-// What only the endpoint process can promise: at most one start, "not run",
-// memory that comes back, leases, drain.
+// Tests the guarantees of the endpoint process: at most one start of each attempt, correct "not
+// run" reports, return of memory, leases and drain.
 
 #define BOOST_TEST_MODULE endpoint_core
 #include "endpoint/endpoint_core.h"
@@ -39,7 +39,7 @@
     return offer;
   }
 
-  void Say(const Message& message) { this->core.OnMessage(kPeer, message, this->now); }
+  void Receive(const Message& message) { this->core.OnMessage(kPeer, message, this->now); }
 
   std::vector<EndpointAction> Actions() {
     std::vector<EndpointAction> actions = this->core.TakeActions();
@@ -65,39 +65,39 @@
   std::vector<Failed> failures;
 };
 
-BOOST_AUTO_TEST_CASE(AnAttemptStartsOnceHoweverOftenOffered) {
+BOOST_AUTO_TEST_CASE(AnAttemptStartsOnceHoweverOftenItIsOffered) {
   Endpoint endpoint;
   Offer offer = endpoint.OfferOf(Id(1), 100);
-  endpoint.Say(offer);
-  endpoint.Say(offer);
+  endpoint.Receive(offer);
+  endpoint.Receive(offer);
   endpoint.Actions();
   endpoint.core.OnEngineFinished(Id(1), {"stop", 100, 0, 1, 0}, endpoint.now);
-  endpoint.Say(offer);
+  endpoint.Receive(offer);
   endpoint.Actions();
   BOOST_TEST(endpoint.starts == 1);
   BOOST_TEST(endpoint.core.counters().duplicates == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(ACancelThatOvertakesItsOfferWins) {
+BOOST_AUTO_TEST_CASE(ACancelBeforeItsOfferPreventsTheStart) {
   Endpoint endpoint;
-  endpoint.Say(Cancel{Id(1)});
-  endpoint.Say(endpoint.OfferOf(Id(1), 100));
+  endpoint.Receive(Cancel{Id(1)});
+  endpoint.Receive(endpoint.OfferOf(Id(1), 100));
   endpoint.Actions();
   BOOST_TEST(endpoint.starts == 0);
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsTakenBeforeHello) {
+BOOST_AUTO_TEST_CASE(MessagesBeforeHelloAreIgnored) {
   Endpoint endpoint;
   endpoint.core.OnMessage(77, endpoint.OfferOf(Id(1), 100), endpoint.now);
   endpoint.Actions();
   BOOST_TEST(endpoint.core.attempts() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(NoWorkBeforeTheEnginesMemoryIsKnown) {
+BOOST_AUTO_TEST_CASE(AnEngineGetsNoWorkBeforeItsMemoryIsKnown) {
   EndpointCore core(Endpoint::Options(), kStart);
   core.OnHello(kPeer, Hello{"entry", "", 9}, kStart);
   BOOST_TEST(!core.engine_up(0));
-  // An earlier incarnation left something there: it is freed first.
+  // An allocation of an earlier incarnation is freed first.
   core.OnAllocations(0, {{"old.1", 5000}}, kStart);
   BOOST_TEST(!core.engine_up(0));
   core.OnEngineFreed(0, "old.1", true, kStart);
@@ -105,14 +105,14 @@
   BOOST_TEST(core.engine_up(0));
 }
 
-BOOST_AUTO_TEST_CASE(MemoryComesBackOnlyWhenTheEngineIsFree) {
+BOOST_AUTO_TEST_CASE(MemoryIsReturnedOnlyWhenTheEngineHasFreedIt) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 9000));
-  endpoint.Say(Cancel{Id(1)});
+  endpoint.Receive(endpoint.OfferOf(Id(1), 9000));
+  endpoint.Receive(Cancel{Id(1)});
   endpoint.Actions();
   BOOST_TEST(endpoint.frees == 1);
   BOOST_TEST(endpoint.core.ledger(0).free() == 1000u);
-  // The first call is lost; it is made again.
+  // The first free call fails and is repeated.
   endpoint.core.OnEngineFreed(0, ToString(Id(1)), false, endpoint.now);
   endpoint.now += seconds(2);
   endpoint.core.Tick(endpoint.now);
@@ -120,25 +120,25 @@
   BOOST_TEST(endpoint.frees == 2);
   endpoint.core.OnEngineFreed(0, ToString(Id(1)), true, endpoint.now);
   BOOST_TEST(endpoint.core.ledger(0).free() == 10'000u);
-  // A second answer for the same changes nothing.
+  // A second answer for the same allocation changes nothing.
   endpoint.core.OnEngineFreed(0, ToString(Id(1)), true, endpoint.now);
   BOOST_TEST(endpoint.core.ledger(0).free() == 10'000u);
 }
 
-BOOST_AUTO_TEST_CASE(WhatTheEngineNoLongerListsIsFree) {
+BOOST_AUTO_TEST_CASE(AnAllocationThatTheEngineNoLongerListsIsFree) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 9000));
-  endpoint.Say(Cancel{Id(1)});
+  endpoint.Receive(endpoint.OfferOf(Id(1), 9000));
+  endpoint.Receive(Cancel{Id(1)});
   endpoint.core.OnAllocations(0, {}, endpoint.now);
   BOOST_TEST(endpoint.core.ledger(0).free() == 10'000u);
 }
 
-BOOST_AUTO_TEST_CASE(WaitingWorkIsHandedBackOnDrainAndRunningWorkFinished) {
+BOOST_AUTO_TEST_CASE(ADrainReturnsWaitingAttemptsAndCompletesRunningOnes) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 9000));
-  endpoint.Say(endpoint.OfferOf(Id(2), 9000));
+  endpoint.Receive(endpoint.OfferOf(Id(1), 9000));
+  endpoint.Receive(endpoint.OfferOf(Id(2), 9000));
   endpoint.core.Drain(endpoint.now);
-  endpoint.Say(endpoint.OfferOf(Id(3), 10));
+  endpoint.Receive(endpoint.OfferOf(Id(3), 10));
   endpoint.Actions();
   BOOST_TEST(endpoint.starts == 1);
   const std::vector<ResultCode> expected(2, ResultCode::kDraining);
@@ -149,10 +149,10 @@
   BOOST_TEST(endpoint.core.attempts() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(ALapsedLeaseCancelsWhatMayBeRepeatedOnly) {
+BOOST_AUTO_TEST_CASE(ALapsedLeaseCancelsOnlyRepeatableAttempts) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 100));
-  endpoint.Say(endpoint.OfferOf(Id(2), 100, /*repeatable=*/false));
+  endpoint.Receive(endpoint.OfferOf(Id(1), 100));
+  endpoint.Receive(endpoint.OfferOf(Id(2), 100, /*repeatable=*/false));
   endpoint.now += seconds(4);
   endpoint.core.Tick(endpoint.now);
   endpoint.Actions();
@@ -161,12 +161,12 @@
   BOOST_TEST((endpoint.failures[0] == Failed{Id(1), ResultCode::kLeaseLapsed, Ran::kYes}));
 }
 
-BOOST_AUTO_TEST_CASE(ADeadlineEndsWhatRunsAndWhatWaits) {
+BOOST_AUTO_TEST_CASE(ADeadlineEndsRunningAndWaitingAttempts) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 9000));
-  endpoint.Say(endpoint.OfferOf(Id(2), 9000));
+  endpoint.Receive(endpoint.OfferOf(Id(1), 9000));
+  endpoint.Receive(endpoint.OfferOf(Id(2), 9000));
   endpoint.now += seconds(21);
-  endpoint.Say(EntryHeartbeat{});
+  endpoint.Receive(EntryHeartbeat{});
   endpoint.core.Tick(endpoint.now);
   endpoint.Actions();
   BOOST_TEST((endpoint.failures ==
@@ -175,13 +175,13 @@
   BOOST_TEST(endpoint.starts == 1);
 }
 
-BOOST_AUTO_TEST_CASE(WhatWaitsAndCanNoLongerFinishIsHandedBackBeforeItsDeadline) {
+BOOST_AUTO_TEST_CASE(AWaitingAttemptThatCannotFinishIsReturnedBeforeItsDeadline) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 9000));
+  endpoint.Receive(endpoint.OfferOf(Id(1), 9000));
   Offer waiting = endpoint.OfferOf(Id(2), 9000);
-  // 9,000 tokens take 0.45 s at the guessed speed.
+  // Prefilling 9,000 tokens takes 0.45 s at the initial speed.
   waiting.deadline_ms = 2000;
-  endpoint.Say(waiting);
+  endpoint.Receive(waiting);
   endpoint.now += milliseconds(1500);
   endpoint.core.Tick(endpoint.now);
   endpoint.Actions();
@@ -192,9 +192,9 @@
   BOOST_TEST((endpoint.refusals == std::vector<ResultCode>{ResultCode::kOverloaded}));
 }
 
-BOOST_AUTO_TEST_CASE(AFrozenEngineIsGivenUpAfterTwoMisses) {
+BOOST_AUTO_TEST_CASE(AttemptsOnAFrozenEngineFailAfterTwoUnansweredLists) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 100));
+  endpoint.Receive(endpoint.OfferOf(Id(1), 100));
   endpoint.core.OnEngineUnreachable(0, endpoint.now);
   endpoint.Actions();
   BOOST_TEST(endpoint.failures.empty());
@@ -204,16 +204,16 @@
   BOOST_TEST(!endpoint.core.engine_up(0));
 }
 
-BOOST_AUTO_TEST_CASE(ARefusalByTheEngineIsNotRun) {
+BOOST_AUTO_TEST_CASE(ARefusalByTheEngineIsReportedAsNotRun) {
   Endpoint endpoint;
-  endpoint.Say(endpoint.OfferOf(Id(1), 100, /*repeatable=*/false));
+  endpoint.Receive(endpoint.OfferOf(Id(1), 100, /*repeatable=*/false));
   endpoint.core.OnEngineFailure(Id(1), {ResultCode::kNoMemory, Ran::kNo}, endpoint.now);
   endpoint.Actions();
   BOOST_TEST((endpoint.refusals == std::vector<ResultCode>{ResultCode::kNoMemory}));
   BOOST_TEST(endpoint.core.ledger(0).free() == 10'000u);
 }
 
-BOOST_AUTO_TEST_CASE(SpeedsAreLearned) {
+BOOST_AUTO_TEST_CASE(TheSpeedEstimateConverges) {
   SpeedEstimator estimator(PrefillSpeed{5e-5, 0});
   const PrefillSpeed truth{2e-5, 1e-9};
   for (uint64_t i = 0; i < 200; ++i) {
@@ -225,7 +225,7 @@
     double error = Seconds(estimator.speed(), 0, prompt) / Seconds(truth, 0, prompt) - 1;
     BOOST_TEST(std::abs(error) < 0.05, "prompt " << prompt << " error " << error);
   }
-  // An engine that turns ten times slow is known to be slow after a few answers.
+  // The estimate follows within a few answers when the engine becomes ten times slower.
   for (uint64_t i = 0; i < 12; ++i) {
     estimator.Observe(0, 2000 + i * 100, 10 * Seconds(truth, 0, 2000 + i * 100));
   }
--- a/src/endpoint/testing/ledger_test.cc
+++ b/src/endpoint/testing/ledger_test.cc
@@ -1,4 +1,4 @@
-// The ledger against a slow, obvious one, over every short sequence of calls.
+// Compares the ledger with a slow and simple reference over every short sequence of calls.
 
 #define BOOST_TEST_MODULE ledger
 #include "endpoint/ledger.h"
@@ -16,18 +16,18 @@
   return {Id(number), tokens, 0, Time(seconds(number)), group};
 }
 
-// What the ledger promises, said as plainly as possible: it keeps two lists and
-// recounts everything each time.
-class SlowLedger {
+// A direct implementation of the ledger's rules: it keeps two lists and recomputes every sum.
+class ReferenceLedger {
  public:
-  SlowLedger(uint64_t total, uint64_t large_most) : total_tokens(total), large_tokens(large_most) {}
-
-  Grant Ask(const MemoryClaim& claim) {
-    uint64_t most = this->Large(claim) ? this->large_tokens : this->total_tokens;
-    if (claim.tokens > most) return Grant::kRefused;
-    if (this->MayHold(claim)) {
-      bool passes = this->AnyWaitsBefore(claim);
-      this->held.push_back({claim, passes});
+  ReferenceLedger(uint64_t total, uint64_t max_large)
+      : total_tokens(total), large_tokens(max_large) {}
+
+  Grant Request(const MemoryClaim& claim) {
+    uint64_t limit = this->IsLarge(claim) ? this->large_tokens : this->total_tokens;
+    if (claim.tokens > limit) return Grant::kRefused;
+    if (this->MayGrant(claim)) {
+      bool overtakes = this->AnyWaitsBefore(claim);
+      this->held.push_back({claim, overtakes});
       return Grant::kGranted;
     }
     if (claim.group) {
@@ -49,11 +49,11 @@
     std::erase_if(this->held, [&](const Item& item) { return item.claim.id == id; });
     std::erase_if(this->waiting, [&](const MemoryClaim& claim) { return claim.id == id; });
     std::vector<AttemptId> granted;
-    std::vector<MemoryClaim> again = this->waiting;
-    for (const MemoryClaim& claim : again) {
-      if (!this->MayHold(claim)) continue;
-      bool passes = this->AnyWaitsBefore(claim);
-      this->held.push_back({claim, passes});
+    std::vector<MemoryClaim> waiters = this->waiting;
+    for (const MemoryClaim& claim : waiters) {
+      if (!this->MayGrant(claim)) continue;
+      bool overtakes = this->AnyWaitsBefore(claim);
+      this->held.push_back({claim, overtakes});
       std::erase_if(this->waiting, [&](const MemoryClaim& other) { return other.id == claim.id; });
       granted.push_back(claim.id);
     }
@@ -82,16 +82,16 @@
                        [&](const MemoryClaim& other) { return other.arrival < claim.arrival; });
   }
 
-  bool Large(const MemoryClaim& claim) const {
+  bool IsLarge(const MemoryClaim& claim) const {
     return claim.group || claim.tokens > this->total_tokens - this->large_tokens;
   }
 
-  bool MayHold(const MemoryClaim& claim) const {
+  bool MayGrant(const MemoryClaim& claim) const {
     if (claim.tokens > this->free()) return false;
-    uint64_t large = this->Sum([this](const Item& item) { return this->Large(item.claim); });
-    if (this->Large(claim) && large + claim.tokens > this->large_tokens) return false;
+    uint64_t large = this->Sum([this](const Item& item) { return this->IsLarge(item.claim); });
+    if (this->IsLarge(claim) && large + claim.tokens > this->large_tokens) return false;
     if (!this->AnyWaitsBefore(claim)) return true;
-    if (!this->Large(claim) && claim.tokens + this->waiting.front().tokens <= this->free())
+    if (!this->IsLarge(claim) && claim.tokens + this->waiting.front().tokens <= this->free())
       return true;
     uint64_t passed = this->Sum([](const Item& item) { return item.passed; });
     return passed + claim.tokens <= this->total_tokens - this->large_tokens;
@@ -103,16 +103,16 @@
   std::vector<MemoryClaim> waiting;
 };
 
-// Tries every sequence of up to `depth` calls: asks of several sizes, alone and
-// in groups, older and younger than the ones before, and frees.
-class Exhaustive {
+// Tries every sequence of up to `depth` calls: requests of several sizes, single and in groups,
+// with earlier and later arrivals than before, and frees.
+class ExhaustiveComparison {
  public:
   void Run(int depth) { this->Step({}, depth); }
   int sequences() const { return this->count; }
 
  private:
   struct Call {
-    bool ask;
+    bool is_request;
     uint64_t number;
     uint64_t tokens;
     bool group;
@@ -142,17 +142,18 @@
 
   bool Agree(const std::vector<Call>& calls) {
     ++this->count;
-    Ledger fast(10, 0.7);
-    SlowLedger slow(10, 7);
+    Ledger ledger(10, 0.7);
+    ReferenceLedger reference(10, 7);
     for (const Call& call : calls) {
-      if (call.ask) {
+      if (call.is_request) {
         MemoryClaim claim = Claim(call.number, call.tokens, call.group);
         std::vector<AttemptId> displaced;
-        if (fast.Ask(claim, &displaced) != slow.Ask(claim)) return this->Report(calls);
-      } else if (fast.Free(Id(call.number)).granted != slow.Free(Id(call.number))) {
+        if (ledger.Request(claim, &displaced) != reference.Request(claim))
+          return this->Report(calls);
+      } else if (ledger.Free(Id(call.number)).granted != reference.Free(Id(call.number))) {
         return this->Report(calls);
       }
-      if (fast.free() != slow.free() || !fast.IsConsistent()) return this->Report(calls);
+      if (ledger.free() != reference.free() || !ledger.IsConsistent()) return this->Report(calls);
     }
     return true;
   }
@@ -160,60 +161,60 @@
   bool Report(const std::vector<Call>& calls) {
     std::string text;
     for (const Call& call : calls) {
-      text += call.ask ? " ask " : " free ";
+      text += call.is_request ? " request " : " free ";
       text += std::to_string(call.number) + ":" + std::to_string(call.tokens);
       if (call.group) text += "g";
     }
-    BOOST_ERROR("the ledgers disagree after" << text);
+    BOOST_ERROR("the ledger and the reference disagree after" << text);
     return false;
   }
 
   int count = 0;
 };
 
-BOOST_AUTO_TEST_CASE(AgreesWithTheSlowOne) {
-  Exhaustive exhaustive;
-  exhaustive.Run(4);
-  BOOST_TEST(exhaustive.sequences() > 100'000);
+BOOST_AUTO_TEST_CASE(AgreesWithTheReference) {
+  ExhaustiveComparison comparison;
+  comparison.Run(4);
+  BOOST_TEST(comparison.sequences() > 100'000);
 }
 
 BOOST_AUTO_TEST_CASE(FreeIsIdempotent) {
   Ledger ledger(100, 0.9);
   std::vector<AttemptId> displaced;
-  ledger.Ask(Claim(1, 60), &displaced);
+  ledger.Request(Claim(1, 60), &displaced);
   BOOST_TEST(ledger.Free(Id(1)).known);
   BOOST_TEST(!ledger.Free(Id(1)).known);
   BOOST_TEST(ledger.free() == 100u);
 }
 
-BOOST_AUTO_TEST_CASE(AskingTwiceHoldsOnce) {
+BOOST_AUTO_TEST_CASE(ARepeatedRequestHoldsMemoryOnce) {
   Ledger ledger(100, 0.9);
   std::vector<AttemptId> displaced;
-  BOOST_TEST((ledger.Ask(Claim(1, 60), &displaced) == Grant::kGranted));
-  BOOST_TEST((ledger.Ask(Claim(1, 60), &displaced) == Grant::kGranted));
+  BOOST_TEST((ledger.Request(Claim(1, 60), &displaced) == Grant::kGranted));
+  BOOST_TEST((ledger.Request(Claim(1, 60), &displaced) == Grant::kGranted));
   BOOST_TEST(ledger.free() == 40u);
 }
 
-BOOST_AUTO_TEST_CASE(ShortsPassAWaitingBinderOnlyWithinTheFloor) {
+BOOST_AUTO_TEST_CASE(SmallClaimsOvertakeAWaitingLargeOneOnlyWithinTheSmallShare) {
   Ledger ledger(100, 0.9);
   std::vector<AttemptId> displaced;
-  ledger.Ask(Claim(1, 50), &displaced);
-  BOOST_TEST((ledger.Ask(Claim(2, 90, true), &displaced) == Grant::kWaiting));
-  BOOST_TEST((ledger.Ask(Claim(3, 10), &displaced) == Grant::kGranted));
-  BOOST_TEST((ledger.Ask(Claim(4, 10), &displaced) == Grant::kWaiting));
-  // The binder gets its memory as soon as the first holder is done.
+  ledger.Request(Claim(1, 50), &displaced);
+  BOOST_TEST((ledger.Request(Claim(2, 90, true), &displaced) == Grant::kWaiting));
+  BOOST_TEST((ledger.Request(Claim(3, 10), &displaced) == Grant::kGranted));
+  BOOST_TEST((ledger.Request(Claim(4, 10), &displaced) == Grant::kWaiting));
+  // The large claim gets its memory as soon as the first holder frees its own.
   std::vector<AttemptId> granted = ledger.Free(Id(1)).granted;
   BOOST_TEST((granted == std::vector<AttemptId>{Id(2)}));
 }
 
-BOOST_AUTO_TEST_CASE(AYoungerGroupDiesAnOlderOneWaits) {
+BOOST_AUTO_TEST_CASE(ALaterGroupIsRefusedAndAnEarlierOneWaits) {
   Ledger ledger(100, 0.9);
   std::vector<AttemptId> displaced;
-  ledger.Ask(Claim(5, 80, true), &displaced);
-  BOOST_TEST((ledger.Ask(Claim(6, 80, true), &displaced) == Grant::kRefused));
-  BOOST_TEST((ledger.Ask(Claim(4, 80, true), &displaced) == Grant::kWaiting));
+  ledger.Request(Claim(5, 80, true), &displaced);
+  BOOST_TEST((ledger.Request(Claim(6, 80, true), &displaced) == Grant::kRefused));
+  BOOST_TEST((ledger.Request(Claim(4, 80, true), &displaced) == Grant::kWaiting));
   BOOST_TEST(displaced.empty());
-  BOOST_TEST((ledger.Ask(Claim(3, 80, true), &displaced) == Grant::kWaiting));
+  BOOST_TEST((ledger.Request(Claim(3, 80, true), &displaced) == Grant::kWaiting));
   BOOST_TEST((displaced == std::vector<AttemptId>{Id(4)}));
 }
 
