--- a/src/entry/box_connections.h
+++ b/src/entry/box_connections.h
@@ -1,10 +1,9 @@
 // An entry's connections to the endpoint boxes.
 //
-// One TCP connection to each box that the platform's list (or the settings)
-// names, made again with a growing delay after it breaks.  Both sides send
-// heartbeats; a box that has been silent for kSilence is given up as lost and
-// its connection closed, which covers frozen processes and half-open sockets
-// alike.
+// An entry keeps one TCP connection to each box that the platform's list or the settings name.  A
+// broken connection is made again after a delay that grows with each failure.  Both sides send
+// heartbeats.  If nothing arrives from a box for kSilenceTimeout, its connection is closed and the
+// box counts as lost.  This detects frozen processes and half-open sockets.
 //
 //   BoxConnections boxes(&loop, hello, hooks);
 //   boxes.Update({{"box-3", address}});
@@ -25,47 +24,55 @@
 
 namespace gullward {
 
-// Between two heartbeats on one connection.
+// Time between two heartbeats on a connection.
 inline constexpr Duration kHeartbeatPeriod = milliseconds(500);
 
-// Silence after which a box counts as lost.
-inline constexpr Duration kSilence = seconds(3);
+// A box from which nothing has arrived for this time counts as lost.
+inline constexpr Duration kSilenceTimeout = seconds(3);
 
 class BoxConnections {
  public:
   struct Hooks {
     std::function<void(const std::string& box, const Message& message)> received;
-    // Runs only for boxes whose connection stood.
+    // Runs when an established connection is lost, not when an attempt to connect fails.
     std::function<void(const std::string& box)> lost;
   };
 
   BoxConnections(EventLoop* loop, Hello hello, Hooks hooks);
-  // Closes all connections; no hook runs any more.
+  // Closes all connections without running hooks.
   ~BoxConnections();
   BoxConnections(const BoxConnections&) = delete;
   BoxConnections& operator=(const BoxConnections&) = delete;
 
-  // The boxes to be connected to.  Others are kept as long as they stay up: the
-  // list lags, and a box that it no longer names may still have work of ours.
-  void Update(const std::map<std::string, SocketAddress>& wanted);
+  // Sets the boxes to connect to.  The connection to any other box is kept until it breaks: the
+  // platform's list is delayed, and a box that it no longer names may still run requests of this
+  // entry.
+  void Update(const std::map<std::string, SocketAddress>& listed);
 
-  // Sends, if the box is connected.
+  // Sends the message if the box is connected; otherwise drops it.
   void Send(const std::string& box, const Message& message);
 
-  // Heartbeats, reconnects, silence.
+  // Sends heartbeats, reconnects and closes silent connections.  To be called every
+  // kHeartbeatPeriod.  Each heartbeat states `config_offset`.
   void Tick(int64_t config_offset);
 
+  // Number of boxes with an established connection.
   size_t connected() const;
+  // Number of connections that were closed because of an invalid frame.
   uint64_t bad_frames() const { return this->bad_frame_count; }
 
  private:
   struct Box {
     SocketAddress address;
     std::shared_ptr<FrameConnection> connection;
-    bool open = false;
-    bool wanted = true;
-    Time last_heard;
-    Time next_try;
+    // Whether the connection is established.
+    bool is_open = false;
+    // Whether the last Update named the box.
+    bool is_listed = true;
+    // When the last message arrived, or when the connection was started.
+    Time last_received;
+    // When to connect again.
+    Time next_connect;
     Duration backoff{};
   };
 
--- a/src/entry/entry_server.cc
+++ b/src/entry/entry_server.cc
@@ -1,4 +1,4 @@
-// entry_server.h tells the parts.
+// The network side of an entry process; entry_server.h gives an overview.
 
 #include "entry/entry_server.h"
 
@@ -27,9 +27,9 @@
 constexpr Duration kClaimsRetry = milliseconds(500);
 constexpr Duration kStopPoll = milliseconds(50);
 constexpr size_t kMaxIdempotencyKey = 256;
-// Answer that may wait for one caller to read it.
+// Bytes of an answer that may be queued for a caller; a caller that reads too slowly is dropped.
 constexpr size_t kMaxUnreadBytes = 4u << 20;
-constexpr double kMaxTimeout = 86400;
+constexpr double kMaxTimeoutSeconds = 86400;
 constexpr char kServicePrefix[] = "/v1/services/";
 constexpr char kJson[] = "application/json";
 
@@ -45,7 +45,7 @@
   return hex;
 }
 
-// The hash of "Bearer KEY", or "" where the header is not of that form.
+// Returns the hash of KEY in "Bearer KEY", or "" if the header has another form.
 std::string KeyHash(const std::string& authorization) {
   static constexpr char kBearer[] = "Bearer ";
   size_t length = sizeof(kBearer) - 1;
@@ -54,14 +54,14 @@
   return key.empty() ? "" : Sha256Hex(key);
 }
 
-// Seconds, rounded up: a caller that comes back early is refused again.
+// Converts to seconds, rounded up, because a request that comes back too early is refused again.
 std::string RetryAfterSeconds(uint64_t millis) { return std::to_string((millis + 999) / 1000); }
 
 bool ParseSeconds(const std::string& text, double* seconds_value) {
   const char* end = text.data() + text.size();
   auto [stopped, error] = std::from_chars(text.data(), end, *seconds_value);
   return error == std::errc() && stopped == end && *seconds_value > 0 &&
-         *seconds_value <= kMaxTimeout;
+         *seconds_value <= kMaxTimeoutSeconds;
 }
 
 EntryOptions CoreOptions(const EntrySettings& settings, uint64_t incarnation) {
@@ -177,25 +177,26 @@
 }
 
 ApiError EntryServer::ReadHeaders(const HttpExchange& exchange, RequestInput* input) {
-  auto wrong = [](const char* message) { return ApiError{ResultCode::kInvalidHeader, message}; };
+  auto invalid = [](const char* message) { return ApiError{ResultCode::kInvalidHeader, message}; };
   input->key_sha256 = KeyHash(exchange.Header("authorization"));
   std::string timeout = exchange.Header("gullward-timeout");
   if (!timeout.empty()) {
     double value = 0;
     if (!ParseSeconds(timeout, &value)) {
-      return wrong("Gullward-Timeout: expected seconds, above 0 and up to 86400");
+      return invalid("Gullward-Timeout: expected seconds, above 0 and up to 86400");
     }
     input->timeout = FromSeconds(value);
   }
   std::string repeatable = exchange.Header("gullward-repeatable");
   if (!repeatable.empty() && repeatable != "yes" && repeatable != "no") {
-    return wrong("Gullward-Repeatable: expected yes or no");
+    return invalid("Gullward-Repeatable: expected yes or no");
   }
   input->repeatable = repeatable != "no";
   std::string key = exchange.Header("idempotency-key");
-  if (key.size() > kMaxIdempotencyKey) return wrong("Idempotency-Key: expected at most 256 bytes");
+  if (key.size() > kMaxIdempotencyKey)
+    return invalid("Idempotency-Key: expected at most 256 bytes");
   if (!key.empty()) {
-    // Two accounts may use the same key without meeting.
+    // The hash includes the API key, so that equal idempotency keys of two accounts differ.
     std::string scoped = input->key_sha256 + "\n" + key;
     input->idempotency_key = std::max<uint64_t>(XXH3_64bits(scoped.data(), scoped.size()), 1);
   }
@@ -206,7 +207,7 @@
   RequestInput input;
   ApiError error = ReadHeaders(*exchange, &input);
   ApiRequest request;
-  // Without a key the body is not worth the time.
+  // A request without an API key is refused in any case, so its body is not parsed.
   bool parse = error.code == ResultCode::kOk && !input.key_sha256.empty();
   if (parse) error = ParseApiRequest(kind, exchange->body, &request);
   exchange->body.clear();
@@ -219,8 +220,8 @@
   Caller caller;
   caller.exchange = exchange;
   caller.answer = {kind, "", request.model, static_cast<int64_t>(std::time(nullptr))};
-  caller.stream = request.stream;
-  caller.stream_usage = request.stream_usage;
+  caller.is_stream = request.stream;
+  caller.includes_usage = request.stream_usage;
   this->loop->Post([this, caller = std::move(caller), input = std::move(input), error]() mutable {
     this->Submit(std::move(caller), std::move(input), error);
   });
@@ -239,7 +240,7 @@
   if (input.service.empty()) error = {ResultCode::kUnknownService, ""};
   Caller caller;
   caller.exchange = exchange;
-  caller.service = true;
+  caller.is_service = true;
   this->loop->Post([this, caller = std::move(caller), input = std::move(input), error]() mutable {
     this->Submit(std::move(caller), std::move(input), error);
   });
@@ -249,24 +250,25 @@
 
 void EntryServer::Submit(Caller caller, RequestInput input, const ApiError& error) {
   std::shared_ptr<HttpExchange> exchange = caller.exchange;
-  // Until there is a configuration no key is known, good or bad.
+  // Without a configuration the keys cannot be checked, and EntryCore refuses the request.
   bool ready = this->follower.feed().IsReady(Now(), kMaxConfigLag);
   ResultCode key = ready ? this->core.CheckKey(input.key_sha256) : ResultCode::kOk;
   if (key != ResultCode::kOk || (ready && error.code != ResultCode::kOk)) {
-    bool key_good = key == ResultCode::kOk;
-    this->RespondError(exchange, key_good ? error.code : key, key_good ? error.message : "");
+    bool is_key_valid = key == ResultCode::kOk;
+    this->RespondError(exchange, is_key_valid ? error.code : key,
+                       is_key_valid ? error.message : "");
     return;
   }
   RequestId id = this->core.Submit(std::move(input), Now());
   const char* kind = caller.answer.kind == ApiKind::kChat ? "chatcmpl-" : "cmpl-";
   caller.answer.id = kind + ToString(id);
   this->callers[id] = std::move(caller);
-  LOG(INFO) << "request " << ToString(id) << " taken";
+  LOG(INFO) << "request " << ToString(id) << " received";
   this->PerformActions();
   exchange->OnGone([this, id] {
     this->loop->Post([this, id] {
       if (this->callers.erase(id) == 0) return;
-      LOG(INFO) << "request " << ToString(id) << " dropped: the caller has gone";
+      LOG(INFO) << "request " << ToString(id) << " dropped: the caller has disconnected";
       this->core.OnCallerGone(id, Now());
       this->PerformActions();
     });
@@ -307,20 +309,20 @@
 void EntryServer::OnConfigChanged() {
   this->core.OnConfigChanged();
   this->core.OnBoxList(this->listed_entries, this->listed_leaving);
-  // Every endpoint hears of the new offset at once, not at its next heartbeat.
+  // Sends the new offset to every endpoint now instead of with the next periodic heartbeat.
   this->boxes.Tick(this->follower.state().offset());
 }
 
 void EntryServer::ReadClaims() {
-  this->log.Read(kClaimsStream, this->next_claim, kClaimsPoll, [this](const LogRead& read) {
+  this->log.Read(kClaimsStream, this->next_claim_offset, kClaimsPoll, [this](const LogRead& read) {
     if (!read.ok) {
       this->loop->RunAfter(kClaimsRetry, [this] { this->ReadClaims(); });
       return;
     }
-    this->next_claim = std::max(this->next_claim, read.earliest);
+    this->next_claim_offset = std::max(this->next_claim_offset, read.earliest);
     for (const OffsetRecord& record : read.records) {
-      if (record.offset < this->next_claim) continue;
-      this->next_claim = record.offset + 1;
+      if (record.offset < this->next_claim_offset) continue;
+      this->next_claim_offset = record.offset + 1;
       LogRecord decoded = DecodeRecord(record.body);
       const auto* batch = std::get_if<ClaimBatch>(&decoded);
       if (batch != nullptr) this->core.OnClaimRecord(*batch, Now());
@@ -374,12 +376,12 @@
   auto found = this->callers.find(action.id);
   if (found == this->callers.end()) return;
   Caller& caller = found->second;
-  if (!caller.stream) {
+  if (!caller.is_stream) {
     caller.text += action.text;
     return;
   }
-  if (!caller.started) {
-    caller.started = true;
+  if (!caller.has_started) {
+    caller.has_started = true;
     caller.exchange->StartStream(
         200, "text/event-stream",
         {{"X-Request-Id", ToString(action.id)}, {"Cache-Control", "no-cache"}});
@@ -387,8 +389,9 @@
   }
   size_t waiting = caller.exchange->Write(StreamEvent(caller.answer, action.text, ""));
   if (waiting <= kMaxUnreadBytes) return;
-  LOG(WARNING) << "request " << ToString(action.id) << " dropped: the caller does not read";
-  // Its OnGone hook follows and cancels the work.
+  LOG(WARNING) << "request " << ToString(action.id)
+               << " dropped: the caller does not read its answer";
+  // The OnGone hook of the exchange runs next and cancels the request.
   caller.exchange->Abort();
 }
 
@@ -401,36 +404,36 @@
             << action.completion_tokens << " tokens";
   HttpHeaders headers = {{"X-Request-Id", ToString(action.id)}};
   ApiUsage usage{action.prompt_tokens, action.cached_tokens, action.completion_tokens};
-  if (caller.service) {
+  if (caller.is_service) {
     caller.exchange->Respond(
         {static_cast<int>(action.status), action.content_type, headers, std::move(caller.text)});
     return;
   }
-  if (!caller.stream) {
+  if (!caller.is_stream) {
     caller.exchange->Respond(
         {200, kJson, headers,
          WholeAnswer(caller.answer, caller.text, action.finish_reason, usage)});
     return;
   }
-  if (!caller.started) {
+  if (!caller.has_started) {
     caller.exchange->StartStream(200, "text/event-stream", headers);
     caller.exchange->Write(StreamOpening(caller.answer));
   }
   std::string last = StreamEvent(caller.answer, "", action.finish_reason);
-  if (caller.stream_usage) last += StreamUsage(caller.answer, usage);
+  if (caller.includes_usage) last += StreamUsage(caller.answer, usage);
   caller.exchange->Write(last + StreamEnd());
   caller.exchange->FinishStream();
 }
 
 void EntryServer::Perform(const FailAnswer& action) {
   auto found = this->callers.find(action.id);
-  // A request refused inside Submit has no caller noted yet; see Submit.
+  // There is no answer to send if the caller has disconnected.
   if (found == this->callers.end()) return;
   Caller caller = std::move(found->second);
   this->callers.erase(found);
   LOG(WARNING) << "request " << ToString(action.id) << " failed: " << Info(action.code).name
                << ", ran " << ToString(action.ran);
-  if (caller.started) {
+  if (caller.has_started) {
     caller.exchange->Write(StreamError(action.code, action.ran));
     caller.exchange->FinishStream();
     return;
@@ -444,7 +447,7 @@
 }
 
 void EntryServer::Perform(const AppendClaims& action) {
-  // What the log answers does not matter: the record is awaited by reading.
+  // The result of the append is ignored: ReadClaims finds the record if the log has accepted it.
   this->log.Append(kClaimsStream, EncodeRecord(action.batch), [](const AppendResult&) {});
 }
 
@@ -560,7 +563,7 @@
     this->loop->RunAfter(kStopPoll, [this] { this->StopWhenIdle(); });
     return;
   }
-  // One more round, so that the last answers leave the HTTP server's buffers.
+  // Waits for one more period, so that the HTTP server can send the last answers.
   this->loop->RunAfter(kStopPoll, [this] { this->loop->Stop(); });
 }
 
--- a/src/entry/entry_server.h
+++ b/src/entry/entry_server.h
@@ -1,12 +1,12 @@
-// The shell of an entry process: HTTP to callers, frames to endpoint boxes, the
-// platform's log and box list, all tied to an EntryCore on one event loop.
+// Connects an EntryCore to the network: HTTP with callers, frames with endpoint boxes, and the
+// platform's log and list of boxes.  EntryCore runs on one event loop.
 //
 //   EntryServer server(&loop, settings, incarnation);
 //   absl::Status status = server.Start();
 //   loop.Run();
 //
-// Bodies are parsed on the HTTP server's threads and only then handed to the
-// loop, so that a large one does not hold up the others.
+// Request bodies are parsed on the threads of the HTTP server and then passed to the event loop, so
+// that a large body does not delay other requests.
 
 #ifndef GULLWARD_ENTRY_ENTRY_SERVER_H_
 #define GULLWARD_ENTRY_ENTRY_SERVER_H_
@@ -35,25 +35,30 @@
   EntryServer(EventLoop* loop, const EntrySettings& settings, uint64_t incarnation);
   ~EntryServer();
 
-  // Listens and begins to follow the log and the box list.
+  // Listens for callers and operators, and starts to follow the log and the list of boxes.
   absl::Status Start();
 
-  // Refuses new requests, waits for those under way and then stops the loop.
+  // Refuses new requests, waits until the requests in flight have ended, and then stops the loop.
+  // A second call stops the loop at once.
   void DrainAndStop();
 
  private:
-  // A caller whose answer is under way.
+  // A caller whose answer is not complete.
   struct Caller {
     std::shared_ptr<HttpExchange> exchange;
     ApiAnswer answer;
-    bool stream = false;
-    bool stream_usage = false;
-    bool service = false;
-    bool started = false;
+    // Whether the answer is sent as a stream of events, and whether it ends with the token counts.
+    bool is_stream = false;
+    bool includes_usage = false;
+    // Whether the request is a call of a plain service.
+    bool is_service = false;
+    // Whether the stream's HTTP head has been sent.
+    bool has_started = false;
+    // The answer so far, if it is not sent as a stream.
     std::string text;
   };
 
-  // On the HTTP threads.
+  // These run on the threads of the HTTP server.
   void HandleHttp(const std::shared_ptr<HttpExchange>& exchange);
   void HandleApi(const std::shared_ptr<HttpExchange>& exchange, ApiKind kind);
   void HandleService(const std::shared_ptr<HttpExchange>& exchange);
@@ -61,9 +66,10 @@
                     const std::string& detail);
   static ApiError ReadHeaders(const HttpExchange& exchange, RequestInput* input);
 
-  // On the loop.
-  // `error` is what the HTTP threads found wrong; it is told only to a caller
-  // whose key is good.
+  // All others run on the event loop.
+
+  // `error` is the result of the checks on the HTTP threads.  It is returned only to a caller with
+  // a valid key.
   void Submit(Caller caller, RequestInput input, const ApiError& error);
   void ListModels(const std::shared_ptr<HttpExchange>& exchange);
   void OnBoxMessage(const std::string& box, const Message& message);
@@ -92,9 +98,12 @@
   AdminServer admin;
   HttpServer http;
   std::map<RequestId, Caller> callers;
+  // From the platform's list: the boxes that are leaving, and the number of running entries.
   std::set<std::string> listed_leaving;
   size_t listed_entries = 1;
-  int64_t next_claim = 0;
+  // Offset of the next record to read from the stream of claims.
+  int64_t next_claim_offset = 0;
+  // When to stop even if requests are still in flight.
   Time stop_at;
   bool stopping = false;
 };
--- a/src/entry/main.cc
+++ b/src/entry/main.cc
@@ -1,4 +1,4 @@
-// gullward-entry: takes callers' requests and has them run on endpoint boxes.
+// gullward-entry: receives requests from callers and sends them to endpoint boxes.
 
 #include "entry/entry_server.h"
 #include "entry/settings.h"
--- a/src/entry/openai_api.cc
+++ b/src/entry/openai_api.cc
@@ -1,4 +1,4 @@
-// Checks and shapes; openai_api.h tells what for.
+// Parsing and building of JSON bodies; openai_api.h describes the functions.
 
 #include "entry/openai_api.h"
 
@@ -10,24 +10,24 @@
 
 using nlohmann::json;
 
-// Fields that go to the engine as they are.
+// Fields that are passed to the engine unchanged.
 constexpr const char* kSamplingFields[] = {
     "temperature",       "top_p",     "top_k", "seed", "stop", "presence_penalty",
     "frequency_penalty", "logit_bias"};
 
-ApiError Wrong(const std::string& message) { return {ResultCode::kInvalidField, message}; }
+ApiError InvalidField(const std::string& message) { return {ResultCode::kInvalidField, message}; }
 
-// Text from JSON may hold bytes that are not UTF-8 once an engine has cut a
-// character; they are replaced rather than refused.
+// Serializes a JSON value.  Bytes that are not UTF-8, as in a character that an engine has split,
+// are replaced, since the library would throw otherwise.
 std::string Dump(const json& value) {
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 ApiError ReadModel(const json& body, ApiRequest* request) {
   auto found = body.find("model");
-  if (found == body.end()) return Wrong("model: missing; expected a string");
+  if (found == body.end()) return InvalidField("model: missing; expected a string");
   if (!found->is_string() || found->get_ref<const std::string&>().empty()) {
-    return Wrong("model: expected a string that is not empty");
+    return InvalidField("model: expected a string that is not empty");
   }
   request->model = found->get<std::string>();
   return {};
@@ -35,26 +35,28 @@
 
 ApiError ReadPrompt(json* body, ApiRequest* request) {
   auto found = body->find("prompt");
-  if (found == body->end()) return Wrong("prompt: missing; expected a string");
+  if (found == body->end()) return InvalidField("prompt: missing; expected a string");
   json* text = &*found;
   if (text->is_array() && text->size() == 1) text = &(*text)[0];
-  if (!text->is_string()) return Wrong("prompt: expected a string, or an array of one string");
+  if (!text->is_string())
+    return InvalidField("prompt: expected a string, or an array of one string");
   request->prompt = std::move(text->get_ref<std::string&>());
-  if (request->prompt.empty()) return Wrong("prompt: expected a text that is not empty");
+  if (request->prompt.empty()) return InvalidField("prompt: expected a text that is not empty");
   return {};
 }
 
-// A message's content: a string, or parts of which those of type text count.
+// Appends the content of a message to the prompt: a string, or an array of parts of type text.
 ApiError AppendContent(const json& content, const std::string& where, std::string* prompt) {
   if (content.is_string()) {
     *prompt += content.get_ref<const std::string&>();
     return {};
   }
-  if (!content.is_array()) return Wrong(where + ".content: expected a string or an array of parts");
+  if (!content.is_array())
+    return InvalidField(where + ".content: expected a string or an array of parts");
   for (const json& part : content) {
     bool is_text = part.is_object() && part.value("type", json()) == "text" &&
                    part.contains("text") && part["text"].is_string();
-    if (!is_text) return Wrong(where + ".content: expected parts of type text");
+    if (!is_text) return InvalidField(where + ".content: expected parts of type text");
     *prompt += part["text"].get_ref<const std::string&>();
   }
   return {};
@@ -62,20 +64,21 @@
 
 ApiError ReadMessages(const json& body, ApiRequest* request) {
   auto found = body.find("messages");
-  if (found == body.end()) return Wrong("messages: missing; expected an array");
+  if (found == body.end()) return InvalidField("messages: missing; expected an array");
   if (!found->is_array() || found->empty()) {
-    return Wrong("messages: expected an array that is not empty");
+    return InvalidField("messages: expected an array that is not empty");
   }
   size_t index = 0;
   for (const json& message : *found) {
     std::string where = "messages[" + std::to_string(index++) + "]";
-    if (!message.is_object()) return Wrong(where + ": expected an object");
+    if (!message.is_object()) return InvalidField(where + ": expected an object");
     auto role = message.find("role");
     if (role == message.end() || !role->is_string()) {
-      return Wrong(where + ".role: expected a string");
+      return InvalidField(where + ".role: expected a string");
     }
     auto content = message.find("content");
-    if (content == message.end()) return Wrong(where + ".content: missing; expected a string");
+    if (content == message.end())
+      return InvalidField(where + ".content: missing; expected a string");
     request->prompt += role->get_ref<const std::string&>() + ": ";
     ApiError error = AppendContent(*content, where, &request->prompt);
     if (error.code != ResultCode::kOk) return error;
@@ -90,10 +93,10 @@
     auto found = body.find(name);
     if (found == body.end() || found->is_null()) continue;
     bool fits = found->is_number_unsigned() && found->get<uint64_t>() >= 1 &&
-                found->get<uint64_t>() <= kMostMaxTokens;
+                found->get<uint64_t>() <= kMaxTokensLimit;
     if (!fits) {
-      return Wrong(std::string(name) + ": expected a whole number from 1 to " +
-                   std::to_string(kMostMaxTokens));
+      return InvalidField(std::string(name) + ": expected a whole number from 1 to " +
+                          std::to_string(kMaxTokensLimit));
     }
     request->max_tokens = found->get<uint32_t>();
     return {};
@@ -104,15 +107,16 @@
 ApiError ReadStream(const json& body, ApiRequest* request) {
   auto stream = body.find("stream");
   if (stream != body.end() && !stream->is_null()) {
-    if (!stream->is_boolean()) return Wrong("stream: expected true or false");
+    if (!stream->is_boolean()) return InvalidField("stream: expected true or false");
     request->stream = stream->get<bool>();
   }
   auto options = body.find("stream_options");
   if (options == body.end() || options->is_null()) return {};
-  if (!options->is_object()) return Wrong("stream_options: expected an object");
+  if (!options->is_object()) return InvalidField("stream_options: expected an object");
   auto usage = options->find("include_usage");
   if (usage == options->end() || usage->is_null()) return {};
-  if (!usage->is_boolean()) return Wrong("stream_options.include_usage: expected true or false");
+  if (!usage->is_boolean())
+    return InvalidField("stream_options.include_usage: expected true or false");
   request->stream_usage = usage->get<bool>();
   return {};
 }
@@ -121,7 +125,7 @@
   for (const char* name : {"n", "best_of"}) {
     auto found = body.find(name);
     if (found == body.end() || found->is_null()) continue;
-    if (*found != 1) return Wrong(std::string(name) + ": only 1 is served");
+    if (*found != 1) return InvalidField(std::string(name) + ": only 1 is served");
   }
   return {};
 }
@@ -135,14 +139,14 @@
   if (!sampling.empty()) request->sampling = Dump(sampling);
 }
 
-json Usage(const ApiUsage& usage) {
+json UsageJson(const ApiUsage& usage) {
   return {{"prompt_tokens", usage.prompt_tokens},
           {"completion_tokens", usage.completion_tokens},
           {"total_tokens", usage.prompt_tokens + usage.completion_tokens},
           {"prompt_tokens_details", {{"cached_tokens", usage.cached_tokens}}}};
 }
 
-json Head(const ApiAnswer& answer, bool streamed) {
+json CommonFields(const ApiAnswer& answer, bool streamed) {
   const char* object = "text_completion";
   if (answer.kind == ApiKind::kChat) {
     object = streamed ? "chat.completion.chunk" : "chat.completion";
@@ -153,11 +157,11 @@
           {"model", answer.model}};
 }
 
-json Reason(const std::string& finish_reason) {
+json FinishReason(const std::string& finish_reason) {
   return finish_reason.empty() ? json(nullptr) : json(finish_reason);
 }
 
-std::string Event(const json& value) { return "data: " + Dump(value) + "\n\n"; }
+std::string ServerSentEvent(const json& value) { return "data: " + Dump(value) + "\n\n"; }
 
 const char* ErrorType(ResultCode code) {
   auto number = static_cast<uint32_t>(code);
@@ -195,14 +199,14 @@
   if (error.code == ResultCode::kOk) error = ReadChoices(body);
   if (error.code != ResultCode::kOk) return error;
   ReadSampling(body, request);
-  // Last, since it moves the text out of the body.
+  // The prompt is read last, because reading it moves the text out of the body.
   return kind == ApiKind::kChat ? ReadMessages(body, request) : ReadPrompt(&body, request);
 }
 
 std::string StreamEvent(const ApiAnswer& answer, const std::string& text,
                         const std::string& finish_reason) {
-  json event = Head(answer, true);
-  json choice = {{"index", 0}, {"finish_reason", Reason(finish_reason)}};
+  json event = CommonFields(answer, true);
+  json choice = {{"index", 0}, {"finish_reason", FinishReason(finish_reason)}};
   if (answer.kind == ApiKind::kChat) {
     choice["delta"] = text.empty() ? json::object() : json{{"content", text}};
   } else {
@@ -210,41 +214,44 @@
     choice["logprobs"] = nullptr;
   }
   event["choices"] = json::array({choice});
-  return Event(event);
+  return ServerSentEvent(event);
 }
 
 std::string StreamOpening(const ApiAnswer& answer) {
   if (answer.kind != ApiKind::kChat) return "";
-  json event = Head(answer, true);
+  json event = CommonFields(answer, true);
   json choice = {{"index", 0},
                  {"finish_reason", nullptr},
                  {"delta", {{"role", "assistant"}, {"content", ""}}}};
   event["choices"] = json::array({choice});
-  return Event(event);
+  return ServerSentEvent(event);
 }
 
 std::string StreamUsage(const ApiAnswer& answer, const ApiUsage& usage) {
-  json event = Head(answer, true);
+  json event = CommonFields(answer, true);
   event["choices"] = json::array();
-  event["usage"] = Usage(usage);
-  return Event(event);
+  event["usage"] = UsageJson(usage);
+  return ServerSentEvent(event);
 }
 
 std::string StreamEnd() { return "data: [DONE]\n\n"; }
 
-std::string StreamError(ResultCode code, Ran ran) { return Event(ErrorObject(code, ran, "")); }
+std::string StreamError(ResultCode code, Ran ran) {
+  return ServerSentEvent(ErrorObject(code, ran, ""));
+}
 
 std::string WholeAnswer(const ApiAnswer& answer, const std::string& text,
                         const std::string& finish_reason, const ApiUsage& usage) {
-  json body = Head(answer, false);
-  json choice = {{"index", 0}, {"finish_reason", Reason(finish_reason)}, {"logprobs", nullptr}};
+  json body = CommonFields(answer, false);
+  json choice = {
+      {"index", 0}, {"finish_reason", FinishReason(finish_reason)}, {"logprobs", nullptr}};
   if (answer.kind == ApiKind::kChat) {
     choice["message"] = {{"role", "assistant"}, {"content", text}};
   } else {
     choice["text"] = text;
   }
   body["choices"] = json::array({choice});
-  body["usage"] = Usage(usage);
+  body["usage"] = UsageJson(usage);
   return Dump(body);
 }
 
--- a/src/entry/openai_api.h
+++ b/src/entry/openai_api.h
@@ -1,10 +1,10 @@
-// The shapes of the OpenAI HTTP API, as far as gullward serves them.
+// Parses the requests and builds the answers of the OpenAI HTTP API, as far as gullward serves it.
 //
-// Requests are checked by hand, field by field, so that every mistake gets a
-// message that names the field; answers are built so that the published client
-// libraries read them.
+// Each field of a request is checked separately, so that the message of an error names the field.
+// Answers have the form that the published client libraries expect.
 //
-//   absl::StatusOr<ApiRequest> request = ParseApiRequest(ApiKind::kChat, body);
+//   ApiRequest request;
+//   ApiError error = ParseApiRequest(ApiKind::kChat, body, &request);
 //   std::string event = StreamEvent(answer, text, "");
 //   std::string body = ErrorBody(ResultCode::kOverloaded, Ran::kNo, "");
 
@@ -20,42 +20,43 @@
 
 namespace gullward {
 
-// Tokens of an answer where the caller does not say.
+// Maximum number of answer tokens if the caller does not state one.
 inline constexpr uint32_t kDefaultMaxTokens = 256;
 
-// Most tokens of an answer that a caller may ask for.
-inline constexpr uint32_t kMostMaxTokens = 1'000'000;
+// Upper bound of the number of answer tokens that a caller may request.
+inline constexpr uint32_t kMaxTokensLimit = 1'000'000;
 
 enum class ApiKind { kCompletion, kChat };
 
-// A request body, checked.
+// A request body that has passed all checks.
 struct ApiRequest {
   std::string model;
-  // The text for the engine; a chat's messages are joined.
+  // The prompt for the engine.  The messages of a chat are joined to one text.
   std::string prompt;
   uint32_t max_tokens = kDefaultMaxTokens;
   bool stream = false;
-  // Whether the last event of a stream carries the usage.
+  // Whether the stream ends with an event that carries the token counts.
   bool stream_usage = false;
-  // Sampling parameters, as a JSON object; empty where there are none.
+  // Sampling parameters as a JSON object; empty if the request has none.
   std::string sampling;
 
   bool operator==(const ApiRequest&) const = default;
 };
 
-// Why a body was refused.
+// The reason for refusing a request body.
 struct ApiError {
   ResultCode code = ResultCode::kOk;
-  // Names the field and what was expected.
+  // Names the field and the expected value.
   std::string message;
 
   bool operator==(const ApiError&) const = default;
 };
 
-// Checks a body.  Returns the error, whose code is kOk where there is none.
+// Parses and checks a request body.  Returns an error with the code kOk if the body is valid; only
+// then is `request` complete.
 ApiError ParseApiRequest(ApiKind kind, const std::string& body, ApiRequest* request);
 
-// What every part of one answer repeats.
+// The fields that every part of an answer repeats.
 struct ApiAnswer {
   ApiKind kind = ApiKind::kCompletion;
   std::string id;
@@ -69,31 +70,31 @@
   uint64_t completion_tokens = 0;
 };
 
-// One server-sent event with a part of the answer; finish_reason is empty but in
-// the last one.
+// Returns a server-sent event with a part of the answer.  `finish_reason` is empty for all parts
+// but the last one.
 std::string StreamEvent(const ApiAnswer& answer, const std::string& text,
                         const std::string& finish_reason);
 
-// The event that starts a chat's stream.
+// Returns the event that starts the stream of a chat; empty for a completion.
 std::string StreamOpening(const ApiAnswer& answer);
 
-// The event that carries the usage.
+// Returns the event that carries the token counts.
 std::string StreamUsage(const ApiAnswer& answer, const ApiUsage& usage);
 
-// The last line of a stream.
+// Returns the event that ends every complete stream.
 std::string StreamEnd();
 
-// The event that ends a stream that broke.
+// Returns the event that ends a stream after a failure.
 std::string StreamError(ResultCode code, Ran ran);
 
-// The whole answer of a request that does not stream.
+// Returns the body of the answer to a request without streaming.
 std::string WholeAnswer(const ApiAnswer& answer, const std::string& text,
                         const std::string& finish_reason, const ApiUsage& usage);
 
-// The body of an error answer; `detail` is added to the code's description.
+// Returns the body of an error answer.  `detail` is appended to the description of the code.
 std::string ErrorBody(ResultCode code, Ran ran, const std::string& detail);
 
-// The body of GET /v1/models.
+// Returns the body of the answer to GET /v1/models.
 std::string ModelList(const std::vector<std::string>& names);
 
 }  // namespace gullward
--- a/src/entry/settings.cc
+++ b/src/entry/settings.cc
@@ -1,4 +1,4 @@
-// docs/OPERATORS.md lists these keys.
+// Reads the settings of an entry process; docs/OPERATORS.md lists the keys.
 
 #include "entry/settings.h"
 
--- a/src/entry/testing/api_process_test.cc
+++ b/src/entry/testing/api_process_test.cc
@@ -1,5 +1,5 @@
-// Callers against real processes: the API's shapes, bad input of every kind, and
-// whole sessions byte for byte against golden files.
+// Sends requests to real processes: valid requests, invalid input of every kind, and complete
+// sessions whose bytes are compared with golden files.
 
 #define BOOST_TEST_MODULE api_process
 #include <boost/test/unit_test.hpp>
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-// One fleet serves all tests of this file.
+// All tests of this file share one fleet.
 Fleet* SharedFleet() {
   struct Holder {
     Holder() { this->fleet.StartAll({}); }
@@ -32,7 +32,7 @@
 
 HttpHeaders Bearer(const std::string& key) { return {{"Authorization", "Bearer " + key}}; }
 
-BOOST_AUTO_TEST_CASE(ACompletionInTheApisShape) {
+BOOST_AUTO_TEST_CASE(ACompletionHasTheFormOfTheApi) {
   HttpResult result = SharedFleet()->Complete(0, "what part fits", 12, false);
   BOOST_TEST(result.status == 200);
   json body = json::parse(result.body);
@@ -44,7 +44,7 @@
   BOOST_TEST(answer_tokens == ExpectedAnswer("what part fits", 12).size() / kBytesPerToken);
 }
 
-BOOST_AUTO_TEST_CASE(AChatInTheApisShape) {
+BOOST_AUTO_TEST_CASE(AChatHasTheFormOfTheApi) {
   json body = {{"model", "base"},
                {"max_tokens", 5},
                {"messages", {{{"role", "user"}, {"content", "hello"}}}}};
@@ -123,12 +123,12 @@
     BOOST_TEST(code == row.code, row.what << ": " << result.body);
     BOOST_TEST(error["error"]["ran"] == "no", row.what);
   }
-  // Nothing of that has hurt anybody.
+  // The entry still serves valid requests.
   BOOST_TEST(SharedFleet()->Complete(0, "still there", 2, false).status == 200);
 }
 
-// Connections that no library would make; each ends in an answer or a close.
-BOOST_AUTO_TEST_CASE(BrokenCallersGetACleanClose) {
+// Sends input that no HTTP library produces.  The entry must answer or close each connection.
+BOOST_AUTO_TEST_CASE(MalformedConnectionsAreClosed) {
   const std::string head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n";
   const std::vector<std::pair<const char*, std::string>> rows = {
       {"stalls in the head", "POST /v1/comp"},
@@ -152,7 +152,7 @@
   BOOST_TEST(SharedFleet()->Complete(0, "still there", 2, false).status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(BadFramesCloseTheirConnectionOnly) {
+BOOST_AUTO_TEST_CASE(InvalidFramesCloseOnlyTheirConnection) {
   json before = SharedFleet()->GetJson(SharedFleet()->Address("endpoint-1", "admin"), "/state");
   const std::vector<std::string> rows = {
       std::string("\xff\xff\xff\xff", 4),     // too long
@@ -173,7 +173,7 @@
   BOOST_TEST(before["peers"] == after["peers"]);
 }
 
-BOOST_AUTO_TEST_CASE(OperatorsPathsAnswer) {
+BOOST_AUTO_TEST_CASE(AdminPathsAnswer) {
   std::string admin = "http://" + SharedFleet()->Address("entry-1", "admin");
   BOOST_TEST(Fleet::Call("GET", admin + "/healthz", {}, "").status == 200);
   BOOST_TEST(Fleet::Call("GET", admin + "/readyz", {}, "").status == 200);
@@ -202,7 +202,7 @@
   return prompt;
 }
 
-BOOST_AUTO_TEST_CASE(SessionsAreTheGoldenOnes) {
+BOOST_AUTO_TEST_CASE(SessionsMatchTheGoldenFiles) {
   const std::string key = "Authorization: Bearer test-key\r\n";
   json huge = {{"model", "base"}, {"prompt", HugePrompt()}, {"max_tokens", 4}, {"stream", true}};
   const std::vector<std::pair<std::string, std::string>> sessions = {
--- a/src/entry/testing/fault_process_test.cc
+++ b/src/entry/testing/fault_process_test.cc
@@ -1,4 +1,5 @@
-// Real processes and real signals: what only a process boundary decides.
+// Tests faults of whole processes, with real processes and signals: kills, stops, planned stops,
+// outages of the platform and wrong settings.
 
 #define BOOST_TEST_MODULE fault_process
 #include <signal.h>
@@ -39,7 +40,7 @@
   return "http://" + fleet.Address("entry-" + std::to_string(entry + 1)) + "/v1/completions";
 }
 
-// The engine that is running something, from 0.
+// Returns the index of an engine that runs an attempt; -1 if none does.
 int BusyEngine(Fleet* fleet, int engines) {
   for (int i = 0; i < engines; ++i) {
     if (fleet->EngineStats(i)["allocations"].get<int>() > 0) return i;
@@ -47,7 +48,7 @@
   return -1;
 }
 
-bool NothingHeld(Fleet* fleet, int engines) {
+bool NoMemoryHeld(Fleet* fleet, int engines) {
   return Fleet::WaitFor([&] {
     for (int i = 0; i < engines; ++i) {
       if (!fleet->Running("engine-" + std::to_string(i + 1))) continue;
@@ -59,16 +60,17 @@
 
 struct StreamFault {
   std::string what;
-  std::function<void(Fleet* fleet, int engine)> strike;
-  std::function<void(Fleet* fleet, int engine)> heal;
+  std::function<void(Fleet* fleet, int engine)> inject;
+  std::function<void(Fleet* fleet, int engine)> repair;
 };
 
 std::string Endpoint(int engine) { return "endpoint-" + std::to_string(engine + 1); }
 std::string EngineName(int engine) { return "engine-" + std::to_string(engine + 1); }
-void Nothing(Fleet*, int) {}
+void NoRepair(Fleet*, int) {}
 
-// Mid-stream: the answer must come whole, and no engine may keep memory.
-BOOST_AUTO_TEST_CASE(AStreamSurvivesWhateverBreaksBehindIt) {
+// Each fault occurs in the middle of a streamed answer.  The caller must receive the complete
+// answer, and no engine may keep memory.
+BOOST_AUTO_TEST_CASE(AStreamIsCompletedAfterAFaultBehindTheEntry) {
   const std::vector<StreamFault> faults = {
       {"endpoint process killed", [](Fleet* f, int e) { f->Kill(Endpoint(e), SIGKILL); },
        [](Fleet* f, int e) {
@@ -83,12 +85,12 @@
        [](Fleet* f, int e) {
          f->Fault(EngineName(e), {{"cut_after_tokens", 0}});
        },
-       Nothing},
+       NoRepair},
       {"endpoint asked to drain",
        [](Fleet* f, int e) {
          Fleet::Call("POST", "http://" + f->Address(Endpoint(e), "admin") + "/drain", {}, "");
        },
-       Nothing},
+       NoRepair},
   };
   int number = 0;
   for (const StreamFault& fault : faults) {
@@ -99,16 +101,16 @@
     BOOST_TEST(Fleet::WaitFor([&] { return call.text().size() >= 10 * kBytesPerToken; }));
     int engine = BusyEngine(&fleet, 3);
     BOOST_REQUIRE(engine >= 0);
-    fault.strike(&fleet, engine);
+    fault.inject(&fleet, engine);
     BOOST_TEST(Fleet::WaitFor([&] { return call.over(); }), fault.what);
     BOOST_TEST(call.whole(), fault.what << " " << call.error().dump());
     BOOST_TEST(call.text() == ExpectedAnswer(prompt, kTokens), fault.what);
-    fault.heal(&fleet, engine);
-    BOOST_TEST(NothingHeld(&fleet, 3), fault.what);
+    fault.repair(&fleet, engine);
+    BOOST_TEST(NoMemoryHeld(&fleet, 3), fault.what);
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhatMayNotBeRepeatedFailsAsUnknownAndIsNotRunAgain) {
+BOOST_AUTO_TEST_CASE(ARequestThatIsNotRepeatableFailsAndIsNotRunAgain) {
   Fleet fleet;
   fleet.StartAll(SlowAnswers());
   std::string prompt = LongAnswerPrompt(20);
@@ -125,27 +127,27 @@
   BOOST_TEST(started == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ACallerThatLeavesFreesTheEnginesMemory) {
+BOOST_AUTO_TEST_CASE(MemoryIsFreedWhenTheCallerDisconnects) {
   Fleet fleet;
   fleet.StartAll(SlowAnswers());
   {
     StreamedCall call(EntryUrl(fleet, 0), Fleet::Authorization(), StreamBody(LongAnswerPrompt(30)));
     BOOST_TEST(Fleet::WaitFor([&] { return !call.text().empty(); }));
   }
-  BOOST_TEST(NothingHeld(&fleet, 3));
+  BOOST_TEST(NoMemoryHeld(&fleet, 3));
   BOOST_TEST(Fleet::WaitFor([&] { return fleet.EntryState(0)["requests"].empty(); }));
 }
 
-BOOST_AUTO_TEST_CASE(AnEntryThatDiesFreesTheEnginesMemory) {
+BOOST_AUTO_TEST_CASE(MemoryIsFreedWhenTheEntryIsKilled) {
   Fleet fleet;
   fleet.StartAll(SlowAnswers());
   StreamedCall call(EntryUrl(fleet, 0), Fleet::Authorization(), StreamBody(LongAnswerPrompt(40)));
   BOOST_TEST(Fleet::WaitFor([&] { return !call.text().empty(); }));
   fleet.Kill("entry-1", SIGKILL);
-  BOOST_TEST(NothingHeld(&fleet, 3));
+  BOOST_TEST(NoMemoryHeld(&fleet, 3));
 }
 
-BOOST_AUTO_TEST_CASE(PlannedStopsCutNothingOff) {
+BOOST_AUTO_TEST_CASE(PlannedStopsCompleteTheAnswersUnderWay) {
   for (const std::string& role : {std::string("entry"), std::string("endpoint")}) {
     Fleet fleet;
     fleet.StartAll(SlowAnswers());
@@ -161,7 +163,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AKeyedCallIsMadeOnceWhateverTheLogLoses) {
+BOOST_AUTO_TEST_CASE(AKeyedCallIsMadeOnceIfTheLogLosesAnAnswer) {
   Fleet fleet;
   fleet.StartAll({});
   HttpHeaders headers = Fleet::Authorization();
@@ -179,7 +181,7 @@
   BOOST_TEST(entries.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(APlatformOutageStopsKeyedCallsOnly) {
+BOOST_AUTO_TEST_CASE(APlatformOutageStopsOnlyKeyedCalls) {
   Fleet fleet;
   fleet.StartAll({});
   fleet.Fault("platform", {{"outage", true}});
@@ -191,7 +193,7 @@
   BOOST_TEST(json::parse(keyed.body)["error"]["code"] == 2008);
   BOOST_TEST(json::parse(keyed.body)["error"]["ran"] == "no");
   BOOST_TEST(fleet.Complete(0, "still served", 2, false).status == 200);
-  // An empty box that starts now learns the configuration from an endpoint.
+  // An entry that starts during the outage gets the configuration from an endpoint.
   std::string settings = fleet.WriteFile(
       "late.toml",
       "box = \"entry-9\"\ndata_centre = \"fukuoka\"\nlisten = \"127.0.0.1:0\"\n"
@@ -201,7 +203,7 @@
   fleet.Start("entry-9", "gullward-entry", {"--settings=" + settings});
   BOOST_TEST(fleet.WaitForEngines(8, 1));
   BOOST_TEST(fleet.Complete(8, "served by the late one", 2, false).status == 200);
-  // After the outage the key can be used: it was given back or never written.
+  // After the outage the key can be used: its claim was released or never written.
   fleet.Fault("platform", {{"outage", false}});
   BOOST_TEST(
       Fleet::WaitFor([&] { return Fleet::Call("POST", url, headers, "filing").status == 201; }));
@@ -225,7 +227,7 @@
   BOOST_TEST(fleet.EngineStats(0)["started"] == before);
 }
 
-BOOST_AUTO_TEST_CASE(OperatorsRaceAndLearnWhoWon) {
+BOOST_AUTO_TEST_CASE(TheSecondOfTwoConflictingChangesIsRejected) {
   Fleet fleet;
   fleet.StartAll({.engines = 1, .entries = 1, .service = false});
   std::string platform = "--platform=" + fleet.Address("platform");
@@ -245,7 +247,7 @@
              std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(WrongSettingsAreRefusedWithTheirPlaces) {
+BOOST_AUTO_TEST_CASE(InvalidSettingsAreRefusedWithFileAndLine) {
   Fleet fleet;
   std::string path = fleet.WriteFile("bad.toml", "box = 3\nlisten = \"here\"\nwidth = 1\n");
   for (const std::string& program :
--- a/src/entry/testing/openai_api_test.cc
+++ b/src/entry/testing/openai_api_test.cc
@@ -1,4 +1,4 @@
-// Bodies of callers, good and bad, and the shapes of answers.
+// Tests the parsing of valid and invalid request bodies and the form of answers.
 
 #define BOOST_TEST_MODULE openai_api
 #include "entry/openai_api.h"
@@ -18,7 +18,7 @@
   const char* message;
 };
 
-BOOST_AUTO_TEST_CASE(BadBodiesNameTheirMistake) {
+BOOST_AUTO_TEST_CASE(ErrorsOfInvalidBodiesNameTheField) {
   const ApiKind completion = ApiKind::kCompletion;
   const ApiKind chat = ApiKind::kChat;
   const std::vector<BadRow> rows = {
@@ -60,7 +60,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(GoodBodiesAreRead) {
+BOOST_AUTO_TEST_CASE(ValidBodiesAreParsed) {
   ApiRequest request;
   ApiError error = ParseApiRequest(
       ApiKind::kChat,
@@ -74,7 +74,7 @@
   BOOST_TEST((request == expected));
 }
 
-BOOST_AUTO_TEST_CASE(AnswersHaveTheShapesThatClientsRead) {
+BOOST_AUTO_TEST_CASE(AnswersHaveTheFormThatClientsExpect) {
   ApiAnswer chat{ApiKind::kChat, "chatcmpl-1", "m", 5};
   json whole = json::parse(WholeAnswer(chat, "hi", "stop", {3, 1, 2}));
   BOOST_TEST(whole["object"] == "chat.completion");
@@ -92,7 +92,7 @@
   BOOST_TEST(error["error"]["type"] == "server_error");
 }
 
-BOOST_AUTO_TEST_CASE(BytesThatAreNotTextDoNoHarm) {
+BOOST_AUTO_TEST_CASE(InvalidUtf8IsReplaced) {
   ApiAnswer answer{ApiKind::kCompletion, "cmpl-1", "m", 5};
   std::string event = StreamEvent(answer, "cut \xe3\x81", "");
   BOOST_TEST(json::accept(event.substr(6)));
