--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -1,4 +1,4 @@
-// commands.h tells what each command does.
+// The commands of gullwardctl; commands.h describes them.
 
 #include "ctl/commands.h"
 
@@ -17,8 +17,8 @@
 
 constexpr Duration kRetryPeriod = milliseconds(300);
 
-// After which an append that cannot be read back is made again.
-constexpr Duration kAppendAgain = seconds(3);
+// Time after which an append is repeated if its record has not been read back.
+constexpr Duration kAppendRetryDelay = seconds(3);
 
 void PrintErrors(const std::vector<ConfigError>& errors) {
   for (const ConfigError& error : errors) std::fprintf(stderr, "%s\n", ToString(error).c_str());
@@ -39,7 +39,7 @@
   return file;
 }
 
-// One command's view of the log: reads to its end, appends, reads on.
+// Access to the log for one command: reads it to its end, or appends a change and reads the result.
 class LogSession {
  public:
   LogSession(const std::string& platform, Duration timeout)
@@ -50,21 +50,22 @@
         }),
         deadline(Now() + timeout) {}
 
-  // Reads all that the log holds; false where it does not answer in time.
+  // Reads the log to its end.  Returns false if the log does not answer before the timeout.
   bool ReadAll() {
     this->ReadOnce();
     this->RunUntilDone();
     return this->read_all;
   }
 
-  // Appends the change and reads on until its fate is known.
+  // Appends the change and reads the log until it contains the change.  Returns the offset and the
+  // result of the change; empty if they are not known before the timeout.
   std::optional<std::pair<int64_t, ApplyResult>> Publish(const ConfigChange& change) {
     this->own = change.id;
     this->publishing = true;
     this->Append(EncodeRecord(change));
     this->ReadOnce();
     this->RunUntilDone();
-    return this->fate;
+    return this->outcome;
   }
 
   const ConfigState& state() const { return this->feed.state(); }
@@ -77,7 +78,7 @@
     this->loop.Run();
   }
 
-  bool Finished() const { return this->publishing ? this->fate.has_value() : this->read_all; }
+  bool Finished() const { return this->publishing ? this->outcome.has_value() : this->read_all; }
 
   void ReadOnce() {
     this->log.Read(kConfigStream, this->feed.next_offset(),
@@ -97,11 +98,12 @@
 
   void Append(const std::string& body) {
     this->log.Append(kConfigStream, body, [this, body](const AppendResult& result) {
-      // An answer that was lost is settled by reading; a second copy of the
-      // change would only conflict with the first.
-      Duration again = result.kind == AppendResult::Kind::kRefused ? Duration(kRetryPeriod)
-                                                                   : Duration(kAppendAgain);
-      this->loop.RunAfter(again, [this, body] {
+      // If the answer is lost, reading the log shows whether the append took effect.  A second copy
+      // of the change would conflict with the first and be rejected, so repeating it is safe.
+      Duration retry_delay = result.kind == AppendResult::Kind::kRefused
+                                 ? Duration(kRetryPeriod)
+                                 : Duration(kAppendRetryDelay);
+      this->loop.RunAfter(retry_delay, [this, body] {
         if (!this->Finished()) this->Append(body);
       });
     });
@@ -110,7 +112,7 @@
   void OnApplied(int64_t offset, const LogRecord& record, const ApplyResult& result) {
     const auto* change = std::get_if<ConfigChange>(&record);
     bool is_own = this->publishing && change != nullptr && change->id == this->own;
-    if (is_own && !this->fate) this->fate = {offset, result};
+    if (is_own && !this->outcome) this->outcome = {offset, result};
   }
 
   EventLoop loop;
@@ -120,8 +122,9 @@
   Time deadline;
   bool read_all = false;
   bool publishing = false;
+  // Id of the published change.
   WriterSequence own;
-  std::optional<std::pair<int64_t, ApplyResult>> fate;
+  std::optional<std::pair<int64_t, ApplyResult>> outcome;
 };
 
 int Unavailable() {
@@ -129,7 +132,7 @@
   return kExitFailed;
 }
 
-// One HTTP call, whose answer is printed.
+// Makes one HTTP call and prints the answer.
 int CallAndPrint(const std::string& method, const std::string& url, Duration timeout) {
   HttpCall call;
   call.method = method;
@@ -165,13 +168,13 @@
     return 0;
   }
   LogSession session(platform, timeout);
-  auto fate = session.Publish(change);
-  if (!fate) {
+  auto outcome = session.Publish(change);
+  if (!outcome) {
     std::fprintf(stderr, "not known whether the change was accepted\n");
     PrintCode(ResultCode::kPlatformUnavailable);
     return kExitUnknown;
   }
-  auto [offset, result] = *fate;
+  auto [offset, result] = *outcome;
   if (result.code == ResultCode::kOk) {
     std::printf("%saccepted at offset %lld\n", DescribeChange(change).c_str(),
                 static_cast<long long>(offset));
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -1,4 +1,4 @@
-// gullwardctl: the operator's shell.
+// gullwardctl: the command line tool for operators.
 
 #include <gflags/gflags.h>
 
@@ -17,7 +17,7 @@
 constexpr char kUsage[] =
     "gullwardctl COMMAND\n"
     "  check FILE        check a configuration file, offline\n"
-    "  publish FILE      publish it and wait for its fate\n"
+    "  publish FILE      publish it and wait for the outcome\n"
     "  diff FILE         what publishing it would change\n"
     "  get               the configuration in force, as a file\n"
     "  state ADDRESS     a process's state dump, from its admin address\n"
--- a/src/endpoint/endpoint_server.cc
+++ b/src/endpoint/endpoint_server.cc
@@ -34,7 +34,7 @@
 ConfigFollowerOptions FollowerOptions(uint64_t incarnation) {
   ConfigFollowerOptions options;
   options.always_read = false;
-  options.cut_snapshots = false;
+  options.write_snapshots = false;
   options.seed = incarnation;
   return options;
 }
--- a/src/log/box_list_client.cc
+++ b/src/log/box_list_client.cc
@@ -1,4 +1,4 @@
-// GET /boxes; docs/PLATFORM.md describes the answer.
+// Reads the list with GET /boxes; docs/PLATFORM.md describes the answer.
 
 #include "log/box_list_client.h"
 
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-std::string Field(const json& object, const char* name) {
+std::string StringField(const json& object, const char* name) {
   auto found = object.find(name);
   if (found == object.end() || !found->is_string()) return "";
   return found->get<std::string>();
@@ -35,8 +35,8 @@
     }
     for (const json& item : answer) {
       if (!item.is_object()) continue;
-      ListedBox box{Field(item, "box"), Field(item, "zone"), Field(item, "role"),
-                    Field(item, "address"), Field(item, "state") == "leaving"};
+      ListedBox box{StringField(item, "box"), StringField(item, "zone"), StringField(item, "role"),
+                    StringField(item, "address"), StringField(item, "state") == "leaving"};
       if (!box.box.empty()) boxes.push_back(std::move(box));
     }
     done(true, boxes);
--- a/src/log/box_list_client.h
+++ b/src/log/box_list_client.h
@@ -1,5 +1,9 @@
-// Reads the platform's list of live and leaving boxes.  The list lags behind
-// what is true; nothing that must hold depends on it alone.
+// Reads the platform's list of running and leaving boxes.
+//
+// The list is delayed, so no guarantee may depend on it alone.
+//
+//   BoxListClient box_list(&http, "127.0.0.1:9000");
+//   box_list.Fetch([](bool ok, const std::vector<ListedBox>& boxes) { ... });
 
 #ifndef GULLWARD_LOG_BOX_LIST_CLIENT_H_
 #define GULLWARD_LOG_BOX_LIST_CLIENT_H_
@@ -18,7 +22,7 @@
   std::string zone;
   // "entry" or "endpoint".
   std::string role;
-  // Where its process listens for peers, "IP:PORT".
+  // Address on which the box's process accepts connections of peers, "IP:PORT".
   std::string address;
   bool leaving = false;
 
@@ -29,7 +33,7 @@
  public:
   BoxListClient(HttpClient* client, std::string address);
 
-  // Calls `done` with the list, or with ok false where it could not be had.
+  // Calls `done` with the list, or with `ok` false if the list could not be read.
   void Fetch(std::function<void(bool ok, const std::vector<ListedBox>& boxes)> done);
 
  private:
--- a/src/log/config_follower.cc
+++ b/src/log/config_follower.cc
@@ -1,4 +1,4 @@
-// config_follower.h tells the method.
+// Follows the configuration; config_follower.h describes the method.
 
 #include "log/config_follower.h"
 
@@ -13,10 +13,12 @@
 
 constexpr Duration kLongPoll = seconds(2);
 constexpr Duration kRetryRead = milliseconds(500);
-// A process fed by peers reads the log itself after so long without them.
-constexpr Duration kFedPatience = seconds(5);
-constexpr Duration kFedPoll = seconds(1);
-// Between two fetches from peers, so that ten heartbeats do not fetch ten times.
+// A process that does not always read the log starts to read it if no peer has reported an offset
+// for this time.
+constexpr Duration kPeerTimeout = seconds(5);
+constexpr Duration kPeerPollPeriod = seconds(1);
+// Minimum time between two fetches from peers, so that the heartbeats of many peers cause one
+// fetch.
 constexpr Duration kFetchPeriod = milliseconds(200);
 constexpr int64_t kMaxSnapshotDelayMillis = 5000;
 
@@ -40,9 +42,9 @@
 void ConfigFollower::Start() { this->ReadOnce(); }
 
 void ConfigFollower::ReadOnce() {
-  bool fed = !this->options.always_read && Now() - this->fed_at < kFedPatience;
-  if (fed) {
-    this->loop->RunAfter(kFedPoll, [this] { this->ReadOnce(); });
+  bool has_peers = !this->options.always_read && Now() - this->last_peer_report < kPeerTimeout;
+  if (has_peers) {
+    this->loop->RunAfter(kPeerPollPeriod, [this] { this->ReadOnce(); });
     return;
   }
   this->log->Read(kConfigStream, this->config.next_offset(), kLongPoll,
@@ -51,22 +53,23 @@
 
 void ConfigFollower::AfterRead(const LogRead& read) {
   if (read.ok != this->reachable) {
-    LOG(INFO) << (read.ok ? "the platform's log answers" : "the platform's log does not answer");
+    LOG(INFO) << (read.ok ? "the platform's log is reachable"
+                          : "the platform's log is not reachable");
   }
   this->reachable = read.ok;
   if (!read.ok) {
     this->loop->RunAfter(kRetryRead, [this] { this->ReadOnce(); });
     return;
   }
-  int64_t before = this->config.state().offset();
+  int64_t offset_before = this->config.state().offset();
   this->config.ApplyLogRecords(read.earliest, read.records);
-  this->NoteMoved(before);
-  this->MaybeCutSnapshot();
-  // Not at once on the same stack: a log that answers fast would recurse.
+  this->NoteOffset(offset_before);
+  this->MaybeAppendSnapshot();
+  // Posted rather than called, because a log that answers at once would cause a recursion.
   this->loop->Post([this] { this->ReadOnce(); });
 }
 
-void ConfigFollower::NoteMoved(int64_t offset_before) {
+void ConfigFollower::NoteOffset(int64_t offset_before) {
   int64_t offset = this->config.state().offset();
   if (offset == offset_before) return;
   this->config.ObserveOffset(offset, Now());
@@ -75,17 +78,17 @@
   if (this->changed) this->changed();
 }
 
-void ConfigFollower::MaybeCutSnapshot() {
-  bool due = this->options.cut_snapshots && !this->snapshot_planned &&
+void ConfigFollower::MaybeAppendSnapshot() {
+  bool due = this->options.write_snapshots && !this->snapshot_planned &&
              this->config.IsSnapshotDue(this->options.snapshot_records);
   if (!due) return;
   this->snapshot_planned = true;
   std::uniform_int_distribution<int64_t> delay(0, kMaxSnapshotDelayMillis);
   this->loop->RunAfter(milliseconds(delay(this->random)), [this] {
     this->snapshot_planned = false;
-    // Another process may have cut one meanwhile.
+    // Another process may have appended a snapshot in the meantime.
     if (!this->config.IsSnapshotDue(this->options.snapshot_records)) return;
-    LOG(INFO) << "cutting a snapshot at offset " << this->config.state().offset();
+    LOG(INFO) << "appending a snapshot at offset " << this->config.state().offset();
     this->log->Append(kConfigStream, EncodeRecord(this->config.state().Snapshot()),
                       [](const AppendResult&) {});
   });
@@ -93,18 +96,18 @@
 
 void ConfigFollower::OnPeerOffset(int64_t offset, const std::function<void(const Message&)>& send) {
   Time now = Now();
-  this->fed_at = now;
+  this->last_peer_report = now;
   this->config.ObserveOffset(offset, now);
   bool behind = this->config.state().offset() < offset;
-  if (!behind || now - this->fetched_at < kFetchPeriod) return;
-  this->fetched_at = now;
+  if (!behind || now - this->last_fetch < kFetchPeriod) return;
+  this->last_fetch = now;
   send(ConfigFetch{this->config.state().offset()});
 }
 
 void ConfigFollower::OnPeerRecords(const ConfigRecords& records) {
-  int64_t before = this->config.state().offset();
+  int64_t offset_before = this->config.state().offset();
   this->config.ApplyPeerRecords(records.records);
-  this->NoteMoved(before);
+  this->NoteOffset(offset_before);
 }
 
 }  // namespace gullward
--- a/src/log/config_follower.h
+++ b/src/log/config_follower.h
@@ -1,17 +1,18 @@
-// Feeds a ConfigFeed from the log and from peers.
+// Reads configuration records from the log and from peers into a ConfigFeed.
 //
-// Entries read the log all the time by long polling; there are few of them.
-// Endpoint processes are many, so they read it themselves only while no entry
-// has spoken to them for a while, and else learn from the offset in the entries'
-// heartbeats that they are behind, and fetch what they lack from that entry.
+// Entries are few, so they read the log continuously by long polling.  Endpoint processes are many,
+// so they read the log only if no entry has sent them a heartbeat for some time.  Otherwise the
+// offset in an entry's heartbeat shows an endpoint process that it is behind, and it fetches the
+// missing records from that entry.
 //
 //   ConfigFollower follower(&loop, &log, options, [&] { core.OnConfigChanged(); });
 //   follower.Start();
 //   follower.OnPeerOffset(heartbeat.config_offset, send_to_that_peer);
 //   follower.OnPeerRecords(records);
 //
-// A snapshot is appended when the newest one has grown old.  Any process may do
-// it; each waits a random while first and looks again, so usually one does.
+// A snapshot is appended to the log when the newest one is old enough.  Any process with
+// `write_snapshots` may append it.  Each waits for a random delay and checks again, so usually only
+// one of them appends a snapshot.
 
 #ifndef GULLWARD_LOG_CONFIG_FOLLOWER_H_
 #define GULLWARD_LOG_CONFIG_FOLLOWER_H_
@@ -26,27 +27,30 @@
 namespace gullward {
 
 struct ConfigFollowerOptions {
-  // Whether to read the log even while peers feed this process.
+  // Whether to read the log even while peers send offsets.
   bool always_read = true;
-  // Whether this process cuts snapshots.
-  bool cut_snapshots = true;
+  // Whether this process appends snapshots.
+  bool write_snapshots = true;
+  // Number of records after which a snapshot is due.
   int64_t snapshot_records = kSnapshotEveryRecords;
+  // Seed of the random delay before a snapshot.
   uint64_t seed = 1;
 };
 
 class ConfigFollower {
  public:
-  // `changed` runs whenever the offset in force has moved.
+  // `changed` runs whenever the offset of the configuration in force has changed.
   ConfigFollower(EventLoop* loop, LogClient* log, const ConfigFollowerOptions& options,
                  std::function<void()> changed);
 
-  // Begins to read the log.
+  // Starts to read the log.
   void Start();
 
-  // A peer said what it holds; `send` sends it a message.
+  // A peer has reported the offset of its configuration.  Fetches the missing records with `send`,
+  // which must send a message to this peer.
   void OnPeerOffset(int64_t offset, const std::function<void(const Message&)>& send);
 
-  // A peer sent what we lacked.
+  // A peer has sent records that this process lacks.
   void OnPeerRecords(const ConfigRecords& records);
 
   const ConfigFeed& feed() const { return this->config; }
@@ -58,8 +62,9 @@
  private:
   void ReadOnce();
   void AfterRead(const LogRead& read);
-  void NoteMoved(int64_t offset_before);
-  void MaybeCutSnapshot();
+  // Reports the change if the offset differs from `offset_before`.
+  void NoteOffset(int64_t offset_before);
+  void MaybeAppendSnapshot();
 
   EventLoop* loop;
   LogClient* log;
@@ -68,8 +73,9 @@
   ConfigFeed config;
   bool reachable = false;
   bool snapshot_planned = false;
-  Time fed_at;
-  Time fetched_at;
+  // When a peer last reported its offset, and when records were last fetched from a peer.
+  Time last_peer_report;
+  Time last_fetch;
   std::mt19937_64 random;
 };
 
--- a/src/log/log_client.cc
+++ b/src/log/log_client.cc
@@ -1,4 +1,4 @@
-// The log's verbs over HTTP; docs/PLATFORM.md describes them.
+// The HTTP calls to the log; docs/PLATFORM.md describes the API.
 
 #include "log/log_client.h"
 
@@ -19,20 +19,21 @@
   LogRead read;
   if (!result.complete || result.status != 200) return read;
   json answer = json::parse(result.body, nullptr, /*allow_exceptions=*/false);
-  bool shaped = answer.is_object() && answer.contains("earliest") &&
-                answer["earliest"].is_number_integer() && answer.contains("records") &&
-                answer["records"].is_array();
-  if (!shaped) return read;
+  bool is_valid = answer.is_object() && answer.contains("earliest") &&
+                  answer["earliest"].is_number_integer() && answer.contains("records") &&
+                  answer["records"].is_array();
+  if (!is_valid) return read;
   read.earliest = answer["earliest"].get<int64_t>();
   for (const json& record : answer["records"]) {
-    bool record_shaped = record.is_object() && record.contains("offset") &&
-                         record["offset"].is_number_integer() && record.contains("body") &&
-                         record["body"].is_string();
+    bool is_record_valid = record.is_object() && record.contains("offset") &&
+                           record["offset"].is_number_integer() && record.contains("body") &&
+                           record["body"].is_string();
     std::string body;
-    bool decoded =
-        record_shaped && absl::Base64Unescape(record["body"].get_ref<const std::string&>(), &body);
-    // A broken answer is no answer: skipping a record would lose it for good.
-    if (!decoded) return LogRead{};
+    bool is_decoded = is_record_valid &&
+                      absl::Base64Unescape(record["body"].get_ref<const std::string&>(), &body);
+    // One invalid record makes the whole answer invalid: a skipped record would never be read
+    // again.
+    if (!is_decoded) return LogRead{};
     read.records.push_back({record["offset"].get<int64_t>(), std::move(body)});
   }
   read.ok = true;
--- a/src/log/log_client.h
+++ b/src/log/log_client.h
@@ -1,15 +1,14 @@
-// Speaks to the platform's append-only log.
+// A client of the platform's append-only log.
 //
-// The log has named streams of records with offsets.  This adapter is the only
-// place that knows its verbs (docs/PLATFORM.md); another platform costs another
-// adapter.
+// The log has named streams of records, and each record has an offset.  No other code depends on
+// the HTTP API of the log (docs/PLATFORM.md); another platform needs another client.
 //
 //   LogClient log(&http, "127.0.0.1:9000");
 //   log.Append("config", bytes, [](const AppendResult& result) { ... });
 //   log.Read("config", next, milliseconds(1000), [](const LogRead& read) { ... });
 //
-// An append whose answer is lost may have taken effect: kUnknown says so, and
-// only reading forward settles it.
+// An append whose answer is lost may have taken effect.  It is reported as kUnknown; only reading
+// the later records of the stream shows whether the record was appended.
 
 #ifndef GULLWARD_LOG_LOG_CLIENT_H_
 #define GULLWARD_LOG_LOG_CLIENT_H_
@@ -24,17 +23,17 @@
 
 namespace gullward {
 
-// Names of the streams that gullward keeps.
+// Names of the streams that gullward uses.
 inline constexpr char kConfigStream[] = "config";
 inline constexpr char kClaimsStream[] = "claims";
 
 struct AppendResult {
   enum class Kind {
-    // The record stands at `offset`.
+    // The record was appended at `offset`.
     kAppended,
-    // The log said that it did not take the record.
+    // The record was not appended.
     kRefused,
-    // No answer came: the record may stand or not.
+    // No valid answer arrived; the record may have been appended.
     kUnknown,
   };
   Kind kind = Kind::kUnknown;
@@ -42,6 +41,7 @@
 };
 
 struct LogRead {
+  // Whether a complete and valid answer arrived.  Otherwise there are no records.
   bool ok = false;
   // The lowest offset that the log still holds.
   int64_t earliest = 0;
@@ -52,11 +52,12 @@
  public:
   LogClient(HttpClient* client, std::string address);
 
+  // Appends a record to the stream.
   void Append(const std::string& stream, const std::string& body,
               std::function<void(const AppendResult&)> done);
 
-  // Reads records from `from` on; where there are none yet, the log waits up to
-  // `wait` for one.
+  // Reads the records from offset `from` on.  If there are none, the log waits for one for up to
+  // `wait` before it answers.
   void Read(const std::string& stream, int64_t from, Duration wait,
             std::function<void(const LogRead&)> done);
 
--- a/src/settings/testing/toml_reader_test.cc
+++ b/src/settings/testing/toml_reader_test.cc
@@ -1,4 +1,4 @@
-// Every mistake in a settings table is reported, with its place.
+// Tests that every error in a settings table is reported with its file, line and key.
 
 #define BOOST_TEST_MODULE toml_reader
 #include "settings/toml_reader.h"
@@ -8,7 +8,7 @@
 namespace gullward {
 namespace {
 
-std::vector<std::string> Mistakes(const std::string& text) {
+std::vector<std::string> ErrorsIn(const std::string& text) {
   std::vector<ConfigError> errors;
   std::optional<toml::table> table = ParseToml(text, "f", &errors);
   if (table) {
@@ -28,10 +28,10 @@
 
 struct Row {
   std::string text;
-  std::vector<std::string> mistakes;
+  std::vector<std::string> errors;
 };
 
-BOOST_AUTO_TEST_CASE(MistakesAndPlaces) {
+BOOST_AUTO_TEST_CASE(EveryErrorIsReportedWithItsLine) {
   const std::vector<Row> rows = {
       {"name = 'x'", {}},
       {"", {"f:1: name: missing; expected a string"}},
@@ -49,9 +49,9 @@
        {"f:3: count: expected a whole number from 1 to 9", "f:2: other: unknown key"}},
   };
   for (const Row& row : rows) {
-    BOOST_TEST(Mistakes(row.text) == row.mistakes, boost::test_tools::per_element());
+    BOOST_TEST(ErrorsIn(row.text) == row.errors, boost::test_tools::per_element());
   }
-  BOOST_TEST(Mistakes("name = ").size() == 1u);
+  BOOST_TEST(ErrorsIn("name = ").size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(SelectorsMatchLabels) {
--- a/src/settings/toml_reader.cc
+++ b/src/settings/toml_reader.cc
@@ -1,4 +1,4 @@
-// The getters; toml_reader.h tells the rules.
+// The getters for TOML values; toml_reader.h describes their rules.
 
 #include "settings/toml_reader.h"
 
@@ -9,11 +9,11 @@
 namespace gullward {
 namespace {
 
-std::string Range(const std::string& least, const std::string& most) {
-  return "from " + least + " to " + most;
+std::string Range(const std::string& min, const std::string& max) {
+  return "from " + min + " to " + max;
 }
 
-std::string Shown(double value) {
+std::string Format(double value) {
   std::ostringstream text;
   text << value;
   return text.str();
@@ -45,7 +45,7 @@
       errors(error_list) {}
 
 const toml::node* TomlReader::Find(const std::string& key) {
-  this->known.insert(key);
+  this->read_keys.insert(key);
   return this->table.get(key);
 }
 
@@ -70,37 +70,37 @@
   return value->get();
 }
 
-int64_t TomlReader::Integer(const std::string& key, std::optional<int64_t> fallback, int64_t least,
-                            int64_t most) {
+int64_t TomlReader::Integer(const std::string& key, std::optional<int64_t> fallback, int64_t min,
+                            int64_t max) {
   std::string expected =
-      "expected a whole number " + Range(std::to_string(least), std::to_string(most));
+      "expected a whole number " + Range(std::to_string(min), std::to_string(max));
   const toml::node* node = this->Find(key);
   if (node == nullptr) {
     if (!fallback) this->Error(key, "missing; " + expected);
-    return fallback.value_or(least);
+    return fallback.value_or(min);
   }
   const toml::value<int64_t>* value = node->as_integer();
-  if (value == nullptr || value->get() < least || value->get() > most) {
+  if (value == nullptr || value->get() < min || value->get() > max) {
     this->Error(key, expected);
-    return fallback.value_or(least);
+    return fallback.value_or(min);
   }
   return value->get();
 }
 
-double TomlReader::Number(const std::string& key, std::optional<double> fallback, double least,
-                          double most) {
-  std::string expected = "expected a number " + Range(Shown(least), Shown(most));
+double TomlReader::Number(const std::string& key, std::optional<double> fallback, double min,
+                          double max) {
+  std::string expected = "expected a number " + Range(Format(min), Format(max));
   const toml::node* node = this->Find(key);
   if (node == nullptr) {
     if (!fallback) this->Error(key, "missing; " + expected);
-    return fallback.value_or(least);
+    return fallback.value_or(min);
   }
   std::optional<double> value = node->value<double>();
-  // Written so that a not-a-number fails too.
-  bool fits = node->is_number() && value && *value >= least && *value <= most;
-  if (!fits) {
+  // The comparisons are false for NaN, so NaN is reported as out of range.
+  bool is_in_range = node->is_number() && value && *value >= min && *value <= max;
+  if (!is_in_range) {
     this->Error(key, expected);
-    return fallback.value_or(least);
+    return fallback.value_or(min);
   }
   return *value;
 }
@@ -198,7 +198,7 @@
 void TomlReader::Finish() {
   for (const auto& [key, node] : this->table) {
     std::string name(key.str());
-    if (this->known.count(name) == 0) this->Error(name, "unknown key");
+    if (this->read_keys.count(name) == 0) this->Error(name, "unknown key");
   }
 }
 
--- a/src/settings/toml_reader.h
+++ b/src/settings/toml_reader.h
@@ -1,13 +1,13 @@
-// Reads one TOML table into typed values and collects every mistake in it.
+// Reads one TOML table into typed values and reports every error in it.
 //
-// A settings or configuration file with five mistakes should be mended in one
-// go, so the reader does not stop at the first: each getter that meets a
-// missing key, a wrong type or an impossible value notes a ConfigError with the
-// file, line and key and returns the fallback.  Finish notes the keys that no
-// getter asked for.
+// The reader does not stop at the first error, so that a settings or configuration file with
+// several errors can be corrected at once.  If a key is missing or its value has the wrong type or
+// is out of range, the getter adds a ConfigError with the file, line and key to the list of errors
+// and returns the fallback, or the lowest or empty value if there is no fallback.  Finish reports
+// the keys that no getter has read.
 //
 //   TomlReader reader(table, "entry.toml", "", &errors);
-//   std::string box = reader.String("box", kRequired);
+//   std::string box = reader.String("box", std::nullopt);
 //   int64_t limit = reader.Integer("limit", 16, 1, 4096);
 //   reader.Finish();
 
@@ -25,7 +25,7 @@
 
 namespace gullward {
 
-// A mistake in a file, with its place.  line 0 means the place is not known.
+// An error in a file.  The line is 0 if it is not known.
 struct ConfigError {
   std::string file;
   uint32_t line = 0;
@@ -38,50 +38,51 @@
 // "file:line: key: message".
 std::string ToString(const ConfigError& error);
 
-// Labels of an engine, an account and so on.
+// Labels of an engine, a client account or another object, by name.
 using Labels = std::map<std::string, std::string>;
 
-// For each label that must match, the values that do.
+// The accepted values of each label that is compared.
 using Selector = std::map<std::string, std::vector<std::string>>;
 
-// Whether every label that the selector names has one of its values.  An empty
-// selector matches everything.
+// Whether each label that the selector names has one of the accepted values.  An empty selector
+// matches all labels.
 bool Matches(const Selector& selector, const Labels& labels);
 
 class TomlReader {
  public:
-  // `prefix` stands before each key in the errors, such as "account[2].".
+  // `prefix` is prepended to the key in each error, for example "account[2].".  The table and the
+  // list of errors must outlive the reader.
   TomlReader(const toml::table& table, std::string file, std::string prefix,
              std::vector<ConfigError>* errors);
 
-  // A string; without a fallback the key must be there and not be empty.
+  // A string.  Without a fallback the key is required and its value must not be empty.
   std::string String(const std::string& key, const std::optional<std::string>& fallback);
 
-  // A whole number between two bounds, both included.
-  int64_t Integer(const std::string& key, std::optional<int64_t> fallback, int64_t least,
-                  int64_t most);
+  // A whole number from `min` to `max`.  Without a fallback the key is required.
+  int64_t Integer(const std::string& key, std::optional<int64_t> fallback, int64_t min,
+                  int64_t max);
 
-  // A number between two bounds, both included.
-  double Number(const std::string& key, std::optional<double> fallback, double least, double most);
+  // A number from `min` to `max`.  Without a fallback the key is required.
+  double Number(const std::string& key, std::optional<double> fallback, double min, double max);
 
   bool Boolean(const std::string& key, bool fallback);
 
-  // An array of strings; absent means empty.
+  // An array of strings; empty if the key is missing.
   std::vector<std::string> Strings(const std::string& key);
 
-  // A table of strings; absent means empty.
+  // A table of strings; empty if the key is missing.
   Labels ReadLabels(const std::string& key);
 
-  // A table whose values are strings or arrays of strings; absent means empty.
+  // A table whose values are strings or arrays of strings; empty if the key is missing.
   Selector ReadSelector(const std::string& key);
 
-  // An array of tables; absent means empty.
+  // An array of tables; empty if the key is missing.
   std::vector<const toml::table*> Tables(const std::string& key);
 
-  // Notes a mistake at a key, or at the table itself where the key is absent.
+  // Adds an error at the line of the key, or at the line of the table if the key is missing.
   void Error(const std::string& key, const std::string& message);
 
-  // Notes every key that no getter asked for.
+  // Adds an error for each key that no getter has read.
   void Finish();
 
  private:
@@ -91,14 +92,15 @@
   std::string file;
   std::string prefix;
   std::vector<ConfigError>* errors;
-  std::set<std::string> known;
+  // Keys that a getter has read.
+  std::set<std::string> read_keys;
 };
 
-// Parses a file's text.  On a syntax error returns nothing and notes it.
+// Parses the text of a file.  On a syntax error adds the error and returns an empty optional.
 std::optional<toml::table> ParseToml(const std::string& text, const std::string& file,
                                      std::vector<ConfigError>* errors);
 
-// Reads a whole file; nothing and a noted error where it cannot be read.
+// Reads a whole file.  If it cannot be read, adds an error and returns an empty optional.
 std::optional<std::string> ReadFile(const std::string& path, std::vector<ConfigError>* errors);
 
 }  // namespace gullward
