--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -127,7 +127,7 @@
   std::optional<std::pair<int64_t, ApplyResult>> outcome;
 };
 
-int Unavailable() {
+int ReportUnavailable() {
   PrintCode(ResultCode::kPlatformUnavailable);
   return kExitFailed;
 }
@@ -160,7 +160,7 @@
   std::optional<ConfigFile> file = LoadFile(path);
   if (!file) return kExitUsage;
   LogSession before(platform, timeout);
-  if (!before.ReadAll()) return Unavailable();
+  if (!before.ReadAll()) return ReportUnavailable();
   ConfigChange change = MakeChange(*file, before.state(), {RandomIncarnation(), 1});
   if (change.objects.empty()) {
     std::printf("nothing to change; in force: offset %lld\n",
@@ -188,7 +188,7 @@
 
 int GetCommand(const std::string& platform, Duration timeout) {
   LogSession session(platform, timeout);
-  if (!session.ReadAll()) return Unavailable();
+  if (!session.ReadAll()) return ReportUnavailable();
   std::printf("%s", WriteConfigFile(session.state()).c_str());
   return 0;
 }
@@ -197,7 +197,7 @@
   std::optional<ConfigFile> file = LoadFile(path);
   if (!file) return kExitUsage;
   LogSession session(platform, timeout);
-  if (!session.ReadAll()) return Unavailable();
+  if (!session.ReadAll()) return ReportUnavailable();
   ConfigChange change = MakeChange(*file, session.state(), {});
   std::printf("%s", DescribeChange(change).c_str());
   return 0;
--- a/src/endpoint/endpoint_core.h
+++ b/src/endpoint/endpoint_core.h
@@ -53,7 +53,8 @@
 // Identifies a connection to an entry.  The shell assigns the ids.
 using PeerId = uint64_t;
 
-// Number of attempt ids that are recorded so that no attempt is started twice.
+// Number of attempt ids that are recorded so that no attempt is started twice.  The oldest id is
+// dropped first.
 inline constexpr size_t kMaxRemembered = 100'000;
 
 // Number of prefixes of finished prompts that are reported for each engine.
@@ -81,10 +82,15 @@
   std::vector<EngineOptions> engines;
   // Name of the plain service; empty if the box has engines.
   std::string service;
+  // An entry from which nothing has arrived for this time loses the leases of its attempts.
   Duration lease = seconds(3);
+  // Time between two sweeps of an engine's allocations.
   Duration sweep_period = seconds(5);
+  // Time after which a failed free is repeated and an unreachable engine is polled again.
   Duration free_retry = seconds(1);
+  // Fraction of an engine's memory that large claims may hold (ledger.h), in [0, 1].
   double group_memory_share = 0.9;
+  // Prompts of at least this many tokens count as long in the load report.
   uint64_t long_tokens = 32768;
   // Maximum number of concurrent calls of the plain service.
   size_t max_service_calls = 256;
@@ -117,7 +123,7 @@
   bool operator==(const FreeOnEngine&) const = default;
 };
 
-// Ask an engine for its list of allocations.
+// Request an engine's list of allocations.
 struct ListAllocations {
   uint32_t engine = 0;
 
@@ -306,7 +312,8 @@
   void Fail(const AttemptId& id, ResultCode code, Ran ran, Time now);
   // Fails the attempt if it was started; otherwise returns it as not run.
   void EndAttempt(const AttemptId& id, ResultCode code, Time now);
-  // Whether the attempt must not be cancelled, because it is running and may not be repeated.
+  // Whether the attempt must not be cancelled, because it is running, may not be repeated and
+  // produces the answer (it is the last piece of its prompt).
   static bool MustFinish(const Attempt& attempt);
   // Removes an attempt.  `on_engine` states whether the engine may still hold memory for it.
   void Remove(const AttemptId& id, bool on_engine, Time now);
--- a/src/endpoint/ledger.h
+++ b/src/endpoint/ledger.h
@@ -18,7 +18,7 @@
 // of additional age.  A valuable request overtakes others by a bounded time only, so every claim
 // becomes the first one in the end.
 //
-// Memory for small claims.  IsLarge claims together may hold a share of the memory only.  The rest
+// Memory for small claims.  Large claims together may hold a share of the memory only.  The rest
 // is the small share; it stays available to short prompts however many long prompts there are.  A
 // claim is large if it belongs to a group or needs more tokens than the small share.
 //
@@ -62,7 +62,8 @@
   AttemptId id;
   uint64_t tokens = 0;
   uint32_t value = 0;
-  // When the request arrived at its entry, which is earlier than the time of this claim.
+  // When the request arrived: for a piece of a group at its entry, so that the rank stays the same
+  // when the group is sent again; for any other claim at this process.
   Time arrival;
   // Whether the claim is for one piece of a prompt whose other pieces hold memory on other engines.
   bool group = false;
--- a/src/endpoint/speed_estimator.cc
+++ b/src/endpoint/speed_estimator.cc
@@ -47,8 +47,8 @@
   this->p00 = std::min((this->p00 - k0 * g0) / kForgetting, kMaxVariance);
   this->p01 = (this->p01 - k0 * g1) / kForgetting;
   this->p11 = std::min((this->p11 - k1 * g1) / kForgetting, kMaxVariance);
-  // Since the diagonal is bounded, the element beside it must be bounded too; otherwise the matrix
-  // becomes meaningless.
+  // Since the diagonal is bounded, the off-diagonal element must be bounded too; otherwise the
+  // matrix becomes meaningless.
   this->p01 = std::clamp(this->p01, -kMaxVariance, kMaxVariance);
 
   this->estimate.seconds_per_token = std::max(w0 / kTokenScale, 1e-9);
--- a/src/entry/entry_server.cc
+++ b/src/entry/entry_server.cc
@@ -54,7 +54,8 @@
   return key.empty() ? "" : Sha256Hex(key);
 }
 
-// Converts to seconds, rounded up, because a request that comes back too early is refused again.
+// The value of Retry-After in seconds, rounded up, because a request that comes back too early is
+// refused again.
 std::string RetryAfterSeconds(uint64_t millis) { return std::to_string((millis + 999) / 1000); }
 
 bool ParseSeconds(const std::string& text, double* seconds_value) {
