--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -20,43 +20,37 @@
   count("gullward_requests_total", "Requests read from callers", counters.requests);
   count("gullward_attempts_total", "Requests sent to engines", counters.attempts);
   count("gullward_retries_total", "Second and later attempts", counters.retries);
-  count("gullward_retries_denied_total", "Retries that the retry budget denied",
-        counters.retries_denied);
-  count("gullward_answers_total", "Answers forwarded completely", counters.answers_whole);
-  count("gullward_answers_broken_total", "Answers that ended early", counters.answers_broken);
-  count("gullward_callers_gone_total", "Callers that disconnected before their answer was complete",
-        counters.callers_gone);
-  count("gullward_events_total", "Stream events forwarded", counters.events_forwarded);
-  count("gullward_spilled_total", "Attempts sent to engines of other cells", counters.spilled);
-  count("gullward_datagrams_sent_total", "Datagrams sent to peers", snapshot.datagrams_sent);
-  count("gullward_datagram_bytes_sent_total", "Bytes of datagrams sent to peers",
-        snapshot.datagram_bytes_sent);
-  count("gullward_datagrams_heard_total", "Datagrams received from peers",
-        snapshot.datagrams_received);
-  count("gullward_peers_left_for_later_total",
-        "Cell members put off to a later round because their cell is large",
+  count("gullward_retries_denied_total", "Retries that the budget denied", counters.retries_denied);
+  count("gullward_answers_total", "Answers passed on whole", counters.answers_whole);
+  count("gullward_answers_broken_total", "Answers broken off", counters.answers_broken);
+  count("gullward_callers_gone_total", "Callers that left early", counters.callers_gone);
+  count("gullward_events_total", "Stream events passed on", counters.events_forwarded);
+  count("gullward_spilled_total", "Attempts at engines of other cells", counters.spilled);
+  count("gullward_datagrams_sent_total", "Datagrams to peers", snapshot.datagrams_sent);
+  count("gullward_datagram_bytes_sent_total", "Bytes of them", snapshot.datagram_bytes_sent);
+  count("gullward_datagrams_heard_total", "Datagrams of peers", snapshot.datagrams_received);
+  count("gullward_peers_left_for_later_total", "Members of large cells told in a later round",
         snapshot.peers_deferred);
-  count("gullward_engine_orders_total", "Control requests sent to engines", counters.orders);
-  count("gullward_engine_entries_unreadable_total",
-        "Entries of the engine list that could not be parsed", counters.entries_unreadable);
-  count("gullward_engine_restarts_total", "Engine restarts observed under an unchanged id",
+  count("gullward_engine_orders_total", "Orders to engines", counters.orders);
+  count("gullward_engine_entries_unreadable_total", "Entries that name no engine to use",
+        counters.entries_unreadable);
+  count("gullward_engine_restarts_total", "Engines seen to start again under their id",
         counters.engine_restarts);
-  const char* const notices_help = "Changes that engines announced of their own state, by kind";
+  const char* const notices_help = "Changes of what engines say of themselves, by kind";
   for (const auto& [kind, changes] :
        {std::pair("limit", counters.limit_changes), std::pair("leaving", counters.leaving_changes),
         std::pair("rest", counters.rest_changes)}) {
     text->Counter("gullward_engine_notices_total", notices_help, {{"kind", kind}},
                   static_cast<double>(changes));
   }
-  count("gullward_engine_notices_unreadable_total",
-        "Fields of engine notices that could not be parsed", counters.notices_unreadable);
-  count("gullward_engine_notices_forgotten_total",
-        "Engines whose notices were evicted to make room", snapshot.notices_forgotten);
-  count("gullward_engine_connections_total", "Connections opened to engines",
-        snapshot.engine_connections);
+  count("gullward_engine_notices_unreadable_total", "Fields of notices that cannot be read",
+        counters.notices_unreadable);
+  count("gullward_engine_notices_forgotten_total", "Engines whose notices had to make room",
+        snapshot.notices_forgotten);
+  count("gullward_engine_connections_total", "Connections opened", snapshot.engine_connections);
   count("gullward_log_lines_dropped_total", "Log lines dropped", snapshot.log_lines_dropped);
   count("gullward_store_calls_total", "Calls to the platform's store", snapshot.store_calls);
-  count("gullward_configs_from_peers_total", "Configurations fetched from peers",
+  count("gullward_configs_from_peers_total", "Configurations that peers have handed on",
         snapshot.configs_from_peers);
   count("gullward_store_returns_total", "Returns of the store from an older copy",
         snapshot.store_returns);
@@ -71,22 +65,21 @@
 void AddCrashes(const CrashWatch& watch, MetricsText* text) {
   for (const auto& [finding, attempts] : watch.broken_attempts()) {
     text->Counter("gullward_attempts_broken_total",
-                  "Attempts that ended early, by what was found out about the engine",
+                  "Attempts that broke off, by what had become of the engine",
                   {{"engine", NameOf(finding)}}, static_cast<double>(attempts));
   }
   auto count = [text](const std::string& name, const std::string& help, uint64_t value) {
     text->Counter(name, help, {}, static_cast<double>(value));
   };
-  count("gullward_crash_news_dropped_total", "Crash gossip dropped because the queue was full",
+  count("gullward_crash_news_dropped_total", "News of ended engines that nobody was told",
         watch.gossip_dropped());
-  count("gullward_suspects_forgotten_total",
-        "Request contents evicted from the crash records to make room",
+  count("gullward_suspects_forgotten_total", "Contents forgotten for want of room",
         watch.quarantine().forgotten());
-  count("gullward_quarantine_unkept_total",
-        "Quarantined request contents without room in the store", watch.unstored_entries());
-  text->Gauge("gullward_suspects", "Request contents that were running when an engine crashed", {},
+  count("gullward_quarantine_unkept_total", "Contents in quarantine without room in the store",
+        watch.unstored_entries());
+  text->Gauge("gullward_suspects", "Contents under which an engine has ended", {},
               static_cast<double>(watch.quarantine().suspects()));
-  text->Gauge("gullward_quarantined", "Request contents in quarantine", {},
+  text->Gauge("gullward_quarantined", "Contents in quarantine", {},
               static_cast<double>(watch.quarantine().quarantined()));
 }
 
@@ -96,13 +89,11 @@
                     {{"prompt", length}}, histogram);
   }
   for (const auto& [length, histogram] : counters.longest_pause) {
-    text->Histogram("gullward_longest_pause_seconds",
-                    "Longest pause between two events of a stream", {{"prompt", length}},
-                    histogram);
+    text->Histogram("gullward_longest_pause_seconds", "Longest pause within a stream",
+                    {{"prompt", length}}, histogram);
   }
-  text->Histogram("gullward_plain_answer_seconds",
-                  "From a request's arrival to the end of an answer that is not a stream", {},
-                  counters.plain_answer);
+  text->Histogram("gullward_plain_answer_seconds", "From arrival to an answer that is no stream",
+                  {}, counters.plain_answer);
 }
 
 void AddProcess(MetricsText* text) {
@@ -122,25 +113,22 @@
   AddCounts(counters, snapshot, &text);
   AddCrashes(*snapshot.crashes, &text);
   AddLatencies(counters, &text);
-  text.Gauge("gullward_engines", "Engines on the engine list", {},
-             static_cast<double>(snapshot.engines));
+  text.Gauge("gullward_engines", "Engines on the list", {}, static_cast<double>(snapshot.engines));
   text.Gauge("gullward_peers", "Other gateways known", {}, static_cast<double>(snapshot.peers));
-  text.Gauge("gullward_neighbours",
-             "Other gateways of the home cell that get datagrams in one round", {},
+  text.Gauge("gullward_neighbours", "Gateways of the home cell that are told at once", {},
              static_cast<double>(snapshot.neighbours));
   text.Gauge("gullward_home_engines", "Engines of the home cells", {},
              static_cast<double>(snapshot.home_engines));
-  text.Gauge("gullward_engines_limited", "Engines that have announced a limit", {},
+  text.Gauge("gullward_engines_limited", "Engines that name a limit", {},
              static_cast<double>(snapshot.engines_limited));
-  text.Gauge("gullward_engines_leaving", "Engines that have announced that they are leaving", {},
+  text.Gauge("gullward_engines_leaving", "Engines that have said that they leave", {},
              static_cast<double>(snapshot.engines_leaving));
   text.Gauge("gullward_engines_resting", "Engines that have asked this gateway for a pause", {},
              static_cast<double>(snapshot.engines_resting));
   AddProcess(&text);
-  text.Gauge("gullward_config_version", "Version of the configuration in force", {},
+  text.Gauge("gullward_config_version", "Configuration in force", {},
              static_cast<double>(snapshot.config_version));
-  text.Gauge("gullward_config_age_seconds",
-             "Time since the configuration was last shown to be current", {},
+  text.Gauge("gullward_config_age_seconds", "Since the configuration was proved current", {},
              ToSeconds(snapshot.config_age));
   return text.Serialize();
 }
