--- a/src/entry/testing/api_process_test.cc
+++ b/src/entry/testing/api_process_test.cc
@@ -33,7 +33,7 @@
 HttpHeaders Bearer(const std::string& key) { return {{"Authorization", "Bearer " + key}}; }
 
 BOOST_AUTO_TEST_CASE(ACompletionInTheApisShape) {
-  HttpResult result = SharedFleet()->Complete(0, "what part fits", 12, false);
+  HttpResult result = SharedFleet()->RequestCompletion(0, "what part fits", 12, false);
   BOOST_TEST(result.status == 200);
   json body = json::parse(result.body);
   BOOST_TEST(body["object"] == "text_completion");
@@ -124,7 +124,7 @@
     BOOST_TEST(error["error"]["ran"] == "no", row.what);
   }
   // Nothing of that has hurt anybody.
-  BOOST_TEST(SharedFleet()->Complete(0, "still there", 2, false).status == 200);
+  BOOST_TEST(SharedFleet()->RequestCompletion(0, "still there", 2, false).status == 200);
 }
 
 // Connections that no library would make; each ends in an answer or a close.
@@ -149,7 +149,7 @@
   bool closed = false;
   half.ReadToEnd(&closed);
   BOOST_TEST(closed);
-  BOOST_TEST(SharedFleet()->Complete(0, "still there", 2, false).status == 200);
+  BOOST_TEST(SharedFleet()->RequestCompletion(0, "still there", 2, false).status == 200);
 }
 
 BOOST_AUTO_TEST_CASE(BadFramesCloseTheirConnectionOnly) {
--- a/src/entry/testing/fault_process_test.cc
+++ b/src/entry/testing/fault_process_test.cc
@@ -50,7 +50,7 @@
 bool NothingHeld(Fleet* fleet, int engines) {
   return Fleet::WaitFor([&] {
     for (int i = 0; i < engines; ++i) {
-      if (!fleet->Running("engine-" + std::to_string(i + 1))) continue;
+      if (!fleet->IsRunning("engine-" + std::to_string(i + 1))) continue;
       if (fleet->EngineStats(i)["allocations"].get<int>() > 0) return false;
     }
     return true;
@@ -81,7 +81,7 @@
        [](Fleet* f, int e) { f->Kill(EngineName(e), SIGCONT); }},
       {"engine cuts the stream",
        [](Fleet* f, int e) {
-         f->Fault(EngineName(e), {{"cut_after_tokens", 0}});
+         f->InjectFault(EngineName(e), {{"cut_after_tokens", 0}});
        },
        Nothing},
       {"endpoint asked to drain",
@@ -100,8 +100,8 @@
     int engine = BusyEngine(&fleet, 3);
     BOOST_REQUIRE(engine >= 0);
     fault.strike(&fleet, engine);
-    BOOST_TEST(Fleet::WaitFor([&] { return call.over(); }), fault.what);
-    BOOST_TEST(call.whole(), fault.what << " " << call.error().dump());
+    BOOST_TEST(Fleet::WaitFor([&] { return call.is_finished(); }), fault.what);
+    BOOST_TEST(call.received_done(), fault.what << " " << call.error().dump());
     BOOST_TEST(call.text() == ExpectedAnswer(prompt, kTokens), fault.what);
     fault.heal(&fleet, engine);
     BOOST_TEST(NothingHeld(&fleet, 3), fault.what);
@@ -117,8 +117,8 @@
   StreamedCall call(EntryUrl(fleet, 0), headers, StreamBody(prompt));
   BOOST_TEST(Fleet::WaitFor([&] { return call.text().size() >= 10 * kBytesPerToken; }));
   fleet.Kill(Endpoint(BusyEngine(&fleet, 3)), SIGKILL);
-  BOOST_TEST(Fleet::WaitFor([&] { return call.over(); }));
-  BOOST_TEST(!call.whole());
+  BOOST_TEST(Fleet::WaitFor([&] { return call.is_finished(); }));
+  BOOST_TEST(!call.received_done());
   BOOST_TEST(call.error()["ran"] == "yes");
   int started = 0;
   for (int i = 0; i < 3; ++i) started += fleet.EngineStats(i)["started"].get<int>();
@@ -154,9 +154,9 @@
     BOOST_TEST(Fleet::WaitFor([&] { return !call.text().empty(); }));
     std::string name = role == "entry" ? "entry-1" : Endpoint(BusyEngine(&fleet, 3));
     fleet.Kill(name, SIGTERM);
-    BOOST_TEST(Fleet::WaitFor([&] { return call.over(); }));
+    BOOST_TEST(Fleet::WaitFor([&] { return call.is_finished(); }));
     BOOST_TEST(call.text() == ExpectedAnswer(prompt, kTokens), role);
-    BOOST_TEST(call.whole(), role);
+    BOOST_TEST(call.received_done(), role);
     BOOST_TEST(fleet.WaitForExit(name) == 0, role);
   }
 }
@@ -170,7 +170,7 @@
   std::string first = "http://" + fleet.Address("entry-1") + path;
   std::string second = "http://" + fleet.Address("entry-2") + path;
   // The append takes effect, but its answer is lost.
-  fleet.Fault("platform", {{"lose_answers", 1}});
+  fleet.InjectFault("platform", {{"lose_answers", 1}});
   BOOST_TEST(Fleet::Call("POST", first, headers, "filing").status == 201);
   HttpResult again = Fleet::Call("POST", second, headers, "filing");
   BOOST_TEST(again.status == 409);
@@ -182,7 +182,7 @@
 BOOST_AUTO_TEST_CASE(APlatformOutageStopsKeyedCallsOnly) {
   Fleet fleet;
   fleet.StartAll({});
-  fleet.Fault("platform", {{"outage", true}});
+  fleet.InjectFault("platform", {{"outage", true}});
   HttpHeaders headers = Fleet::Authorization();
   headers.emplace_back("Idempotency-Key", "filing-2");
   std::string url = "http://" + fleet.Address("entry-1") + "/v1/services/desk/entries";
@@ -190,7 +190,7 @@
   BOOST_TEST(keyed.status == 503);
   BOOST_TEST(json::parse(keyed.body)["error"]["code"] == 2008);
   BOOST_TEST(json::parse(keyed.body)["error"]["ran"] == "no");
-  BOOST_TEST(fleet.Complete(0, "still served", 2, false).status == 200);
+  BOOST_TEST(fleet.RequestCompletion(0, "still served", 2, false).status == 200);
   // An empty box that starts now learns the configuration from an endpoint.
   std::string settings = fleet.WriteFile(
       "late.toml",
@@ -200,9 +200,9 @@
           fleet.Address("endpoint-1") + "\"\n");
   fleet.Start("entry-9", "gullward-entry", {"--settings=" + settings});
   BOOST_TEST(fleet.WaitForEngines(8, 1));
-  BOOST_TEST(fleet.Complete(8, "served by the late one", 2, false).status == 200);
+  BOOST_TEST(fleet.RequestCompletion(8, "served by the late one", 2, false).status == 200);
   // After the outage the key can be used: it was given back or never written.
-  fleet.Fault("platform", {{"outage", false}});
+  fleet.InjectFault("platform", {{"outage", false}});
   BOOST_TEST(
       Fleet::WaitFor([&] { return Fleet::Call("POST", url, headers, "filing").status == 201; }));
   BOOST_TEST(fleet.GetJson(fleet.Address("service"), "/entries").size() == 1u);
@@ -212,7 +212,7 @@
   Fleet fleet;
   fleet.StartAll({});
   std::string config = fleet.WriteFile("leave.toml", "[[leaving]]\nname = \"box-1\"\n");
-  Fleet::Finished published =
+  Fleet::ProgramResult published =
       fleet.Run("gullwardctl", {"publish", config, "--platform=" + fleet.Address("platform")});
   BOOST_TEST(published.status == 0);
   BOOST_TEST(Fleet::WaitFor([&] {
@@ -220,7 +220,8 @@
   }));
   int before = fleet.EngineStats(0)["started"];
   for (int i = 0; i < 12; ++i) {
-    BOOST_TEST(fleet.Complete(i % 2, "prompt " + std::to_string(i), 2, false).status == 200);
+    BOOST_TEST(fleet.RequestCompletion(i % 2, "prompt " + std::to_string(i), 2, false).status ==
+               200);
   }
   BOOST_TEST(fleet.EngineStats(0)["started"] == before);
 }
@@ -229,7 +230,7 @@
   Fleet fleet;
   fleet.StartAll({.engines = 1, .entries = 1, .service = false});
   std::string platform = "--platform=" + fleet.Address("platform");
-  Fleet::Finished got = fleet.Run("gullwardctl", {"get", platform});
+  Fleet::ProgramResult got = fleet.Run("gullwardctl", {"get", platform});
   BOOST_TEST(got.status == 0);
   std::string edited = got.output;
   edited.replace(edited.find("timeout_seconds = 60"), 20, "timeout_seconds = 61");
@@ -237,7 +238,7 @@
   other.replace(other.find("timeout_seconds = 60"), 20, "timeout_seconds = 62");
   BOOST_TEST(fleet.Run("gullwardctl", {"publish", fleet.WriteFile("a", edited), platform}).status ==
              0);
-  Fleet::Finished lost =
+  Fleet::ProgramResult lost =
       fleet.Run("gullwardctl", {"publish", fleet.WriteFile("b", other), platform});
   BOOST_TEST(lost.status == 1);
   BOOST_TEST(lost.output.find("config_conflict") != std::string::npos, lost.output);
@@ -250,7 +251,7 @@
   std::string path = fleet.WriteFile("bad.toml", "box = 3\nlisten = \"here\"\nwidth = 1\n");
   for (const std::string& program :
        {std::string("gullward-entry"), std::string("gullward-endpoint")}) {
-    Fleet::Finished finished = fleet.Run(program, {"--settings=" + path});
+    Fleet::ProgramResult finished = fleet.Run(program, {"--settings=" + path});
     BOOST_TEST(finished.status == 2);
     for (const char* expected :
          {"bad.toml:1: box: expected a string", "bad.toml:2: listen: expected IP:PORT",
--- a/src/gateway/caller_channel.h
+++ b/src/gateway/caller_channel.h
@@ -98,7 +98,7 @@
   size_t pending() const { return this->stream->pending(); }
 
   // Whether the caller has closed the connection, even if the close has not been read yet.
-  bool HasLeft() const { return this->stream->PeerHasLeft(); }
+  bool HasLeft() const { return this->stream->HasPeerClosed(); }
 
  private:
   enum class Phase { kIdle, kReading, kAnswering, kClosed };
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -65,7 +65,7 @@
     return;
   }
   this->state->fleet.RetryBucketOf(this->service->name)
-      .AddRequest(this->state->loop->caught_up_at(), now);
+      .AddRequest(this->state->loop->last_idle_at(), now);
   this->StartAttempt(now);
 }
 
--- a/src/gateway/testing/retry_budget_test.cc
+++ b/src/gateway/testing/retry_budget_test.cc
@@ -226,7 +226,7 @@
     fixture.StartGateway();
     // When the process is suspended below, no earlier input waits to be read.
     Time ready_at = Now();
-    BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.loop.caught_up_at() > ready_at; }));
+    BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.loop.last_idle_at() > ready_at; }));
     const std::string gateway = absl::StrCat("127.0.0.1:", fixture.gateway->callers_port());
     std::vector<std::unique_ptr<RawConnection>> callers;
     for (size_t i = 0; i < kRequests; ++i) {
--- a/src/testing/fleet.cc
+++ b/src/testing/fleet.cc
@@ -68,7 +68,8 @@
   this->Start(name, child.program, child.arguments);
 }
 
-Fleet::Finished Fleet::Run(const std::string& program, const std::vector<std::string>& arguments) {
+Fleet::ProgramResult Fleet::Run(const std::string& program,
+                                const std::vector<std::string>& arguments) {
   std::string output = this->directory + "/run.out";
   unlink(output.c_str());
   pid_t pid = SpawnProgram(PathOfProgram(program), arguments, output);
@@ -100,7 +101,7 @@
 }
 
 bool Fleet::WaitFor(const std::function<bool()>& condition) {
-  Time end = Now() + kPatience;
+  Time end = Now() + kWaitTimeout;
   while (!condition()) {
     if (Now() >= end) return false;
     std::this_thread::sleep_for(milliseconds(10));
@@ -121,8 +122,8 @@
 
 HttpHeaders Fleet::Authorization() { return {{"Authorization", std::string("Bearer ") + kKey}}; }
 
-HttpResult Fleet::Complete(int entry, const std::string& prompt, uint32_t max_tokens, bool stream,
-                           HttpHeaders headers) {
+HttpResult Fleet::RequestCompletion(int entry, const std::string& prompt, uint32_t max_tokens,
+                                    bool stream, HttpHeaders headers) {
   json body = {
       {"model", "base"}, {"prompt", prompt}, {"max_tokens", max_tokens}, {"stream", stream}};
   HttpHeaders all = Authorization();
@@ -132,7 +133,7 @@
   return Call("POST", url, all, body.dump());
 }
 
-void Fleet::Fault(const std::string& name, const json& knobs) {
+void Fleet::InjectFault(const std::string& name, const json& knobs) {
   Call("POST", "http://" + this->Address(name) + "/fault", {}, knobs.dump());
 }
 
@@ -226,7 +227,7 @@
   for (int i = 0; i < this->options.entries; ++i) this->StartEntry(i);
   this->UpdateBoxes();
   std::string config = this->WriteFile("config.toml", ConfigText());
-  Finished published =
+  ProgramResult published =
       this->Run("gullwardctl", {"publish", config, "--platform=" + this->Address("platform")});
   CHECK_EQ(published.status, 0) << published.output;
   for (int i = 0; i < this->options.entries; ++i) {
--- a/src/testing/fleet.h
+++ b/src/testing/fleet.h
@@ -2,7 +2,7 @@
 //
 // Every program listens on a port of the kernel's choice and says which in its
 // ready file. Nothing here waits for a time: WaitFor asks again until a condition
-// holds, and only gives up after kPatience, far beyond any healthy run.
+// holds, and only gives up after kWaitTimeout, far beyond any healthy run.
 //
 //   Fleet fleet;
 //   fleet.StartAll({.engines = 3});
@@ -25,7 +25,7 @@
 namespace gullward {
 
 // How long a condition may take before the test fails.
-inline constexpr Duration kPatience = seconds(60);
+inline constexpr Duration kWaitTimeout = seconds(60);
 
 struct FleetOptions {
   int engines = 3;
@@ -56,16 +56,16 @@
   void StartEntry(int index);
 
   // Runs a program to its end; returns its exit status and its output.
-  struct Finished {
+  struct ProgramResult {
     int status = -1;
     std::string output;
   };
-  Finished Run(const std::string& program, const std::vector<std::string>& arguments);
+  ProgramResult Run(const std::string& program, const std::vector<std::string>& arguments);
 
   void Kill(const std::string& name, int signal);
   // Waits until the program has ended; returns its exit status, -1 for a signal.
   int WaitForExit(const std::string& name);
-  bool Running(const std::string& name) const { return this->children.count(name) > 0; }
+  bool IsRunning(const std::string& name) const { return this->children.count(name) > 0; }
 
   // "IP:PORT" where a program listens; `key` is "listen" or "admin".
   std::string Address(const std::string& name, const std::string& key = "listen") const;
@@ -74,9 +74,9 @@
   static HttpResult Call(const std::string& method, const std::string& url,
                          const HttpHeaders& headers, const std::string& body,
                          Duration timeout = seconds(60));
-  HttpResult Complete(int entry, const std::string& prompt, uint32_t max_tokens, bool stream,
-                      HttpHeaders headers = {});
-  void Fault(const std::string& name, const nlohmann::json& knobs);
+  HttpResult RequestCompletion(int entry, const std::string& prompt, uint32_t max_tokens,
+                               bool stream, HttpHeaders headers = {});
+  void InjectFault(const std::string& name, const nlohmann::json& knobs);
   nlohmann::json GetJson(const std::string& address, const std::string& path);
   nlohmann::json EngineStats(int engine) {
     return this->GetJson(this->Address("engine-" + std::to_string(engine + 1)), "/stats");
@@ -88,7 +88,7 @@
   // Tells the platform the boxes as they are now.
   void UpdateBoxes(const std::vector<std::string>& leaving = {});
 
-  // Whether the condition came true within kPatience.
+  // Whether the condition came true within kWaitTimeout.
   static bool WaitFor(const std::function<bool()>& condition);
   bool WaitForEngines(int entry, int engines);
 
--- a/src/testing/streamed_call.h
+++ b/src/testing/streamed_call.h
@@ -18,7 +18,7 @@
     this->thread = std::thread([this, url, headers, body] { this->Run(url, headers, body); });
   }
   ~StreamedCall() {
-    this->Leave();
+    this->Disconnect();
     this->thread.join();
   }
   StreamedCall(const StreamedCall&) = delete;
@@ -30,11 +30,11 @@
     return this->got;
   }
   // Whether "[DONE]" came.
-  bool whole() {
+  bool received_done() {
     std::lock_guard<std::mutex> lock(this->mutex);
     return this->ended_whole;
   }
-  bool over() {
+  bool is_finished() {
     std::lock_guard<std::mutex> lock(this->mutex);
     return this->is_over;
   }
@@ -48,7 +48,7 @@
     return this->error_event;
   }
   // Closes the connection.
-  void Leave() { this->loop.Stop(); }
+  void Disconnect() { this->loop.Stop(); }
 
  private:
   void Run(const std::string& url, const HttpHeaders& headers, const std::string& body) {
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -46,7 +46,7 @@
 
   // The latest moment at which nothing waited to be handled: what is handled now became
   // ready after it.  Milliseconds ago as a rule; seconds ago where the process stood still.
-  Time caught_up_at() const { return this->caught_up; }
+  Time last_idle_at() const { return this->caught_up; }
 
   // Makes Run return soon.  Safe from any thread.
   void Stop();
--- a/src/transport/tcp_stream.cc
+++ b/src/transport/tcp_stream.cc
@@ -142,7 +142,7 @@
   this->End(got == 0 ? StreamEnd::kFinished : StreamEnd::kBroken);
 }
 
-bool TcpStream::PeerHasLeft() const {
+bool TcpStream::HasPeerClosed() const {
   if (this->state != State::kOpen) return true;
   char next = 0;
   ssize_t got = recv(this->fd, &next, sizeof(next), MSG_PEEK | MSG_DONTWAIT);
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -71,7 +71,7 @@
 
   // Whether the peer has ended the connection and nothing of it is left to read: its end
   // may lie in the kernel for long before it is read, where this process stood still.
-  bool PeerHasLeft() const;
+  bool HasPeerClosed() const;
 
   // Stops and resumes reading; the kernel then holds the peer up.
   void SetReading(bool wanted);
--- a/src/transport/udp_socket.cc
+++ b/src/transport/udp_socket.cc
@@ -44,7 +44,7 @@
 }
 
 void UdpSocket::ReceiveAll() {
-  char buffer[kMostBytes];
+  char buffer[kMaxBytes];
   while (true) {
     ssize_t got = recv(this->fd, buffer, sizeof(buffer), 0);
     if (got < 0) return;
--- a/src/transport/udp_socket.h
+++ b/src/transport/udp_socket.h
@@ -19,7 +19,7 @@
 class UdpSocket {
  public:
   // Longer datagrams would be cut up on their way.
-  static constexpr size_t kMostBytes = 1400;
+  static constexpr size_t kMaxBytes = 1400;
 
   UdpSocket() = default;
   ~UdpSocket();
