--- a/src/http/header_list.cc
+++ b/src/http/header_list.cc
@@ -1,4 +1,5 @@
-// Look-ups over a short list: a scan beats a map for a dozen fields.
+// A linear scan, because a message has about a dozen fields and a scan of so few is
+// faster than a map.
 
 #include "http/header_list.h"
 
@@ -52,19 +53,19 @@
 }
 
 void RemoveHopByHopHeaders(HttpHeaders* headers, bool (*keep)(std::string_view name)) {
-  std::vector<std::string> listed;
+  std::vector<std::string> connection_tokens;
   for (const auto& [name, value] : *headers) {
     if (!SameHeaderName(name, "Connection")) continue;
     for (absl::string_view token : absl::StrSplit(value, ',')) {
-      listed.emplace_back(absl::StripAsciiWhitespace(token));
+      connection_tokens.emplace_back(absl::StripAsciiWhitespace(token));
     }
   }
   auto drop = [&](const auto& field) {
     if (IsHopByHop(field.first)) return true;
     if (keep(field.first)) return false;
-    return std::any_of(listed.begin(), listed.end(), [&](const std::string& token) {
-      return SameHeaderName(token, field.first);
-    });
+    return std::any_of(
+        connection_tokens.begin(), connection_tokens.end(),
+        [&](const std::string& token) { return SameHeaderName(token, field.first); });
   };
   headers->erase(std::remove_if(headers->begin(), headers->end(), drop), headers->end());
 }
@@ -79,8 +80,8 @@
 std::optional<uint64_t> ParseCount(std::string_view text) {
   uint64_t value = 0;
   const char* end = text.data() + text.size();
-  auto [stopped, error] = std::from_chars(text.data(), end, value);
-  if (text.empty() || error != std::errc() || stopped != end) return std::nullopt;
+  auto [parsed_end, error] = std::from_chars(text.data(), end, value);
+  if (text.empty() || error != std::errc() || parsed_end != end) return std::nullopt;
   return value;
 }
 
--- a/src/http/header_list.h
+++ b/src/http/header_list.h
@@ -1,6 +1,6 @@
-// A message's header fields, in order, and the look-ups that everybody needs.
+// The header fields of an HTTP message, with lookup, removal and serialization.
 //
-// Names compare without regard to case, as HTTP wants it:
+// Field names are compared case-insensitively, as RFC 9110 requires:
 //
 //   std::optional<std::string_view> id = FindHeader(headers, "Content-Type");
 //   RemoveHeaders(&headers, "Connection");
@@ -16,28 +16,30 @@
 
 namespace gullward {
 
-// Names and values, in the order of the message.
+// Names and values, in the order in which they stand in the message.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-// Whether two header names are the same name.
+// Whether two field names are equal, ignoring case.
 bool SameHeaderName(std::string_view left, std::string_view right);
 
-// The value of the first field of that name.
+// The value of the first field called `name`; nothing if there is no such field.  The view is
+// valid as long as `headers` is not changed.
 std::optional<std::string_view> FindHeader(const HttpHeaders& headers, std::string_view name);
 
-// Removes every field of that name.
+// Removes every field called `name`.
 void RemoveHeaders(HttpHeaders* headers, std::string_view name);
 
-// Removes the fields that concern one connection only (RFC 9110, 7.6.1): the
-// known ones, and those that the Connection field names.  A field that `keep`
-// approves stays though Connection names it, so that a sender cannot have an
-// end-to-end field dropped.
+// Removes the hop-by-hop fields (RFC 9110, section 7.6.1): a fixed list of fields, and
+// every field that the Connection field names.  A field for which `keep` returns true
+// stays even if Connection names it; otherwise a sender could have an end-to-end field
+// removed.  `keep` does not protect the fields of the fixed list.
 void RemoveHopByHopHeaders(HttpHeaders* headers, bool (*keep)(std::string_view name));
 
-// Appends "Name: value\r\n".
+// Appends "name: value\r\n" to `out`.
 void AppendHeader(std::string* out, std::string_view name, std::string_view value);
 
-// Reads a whole non-negative number; nothing if the text is anything else.
+// Parses a decimal number without a sign.  Returns nothing if `text` holds anything else
+// or if the number exceeds 64 bits.
 std::optional<uint64_t> ParseCount(std::string_view text);
 
 }  // namespace gullward
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -1,4 +1,5 @@
-// libcurl's multi interface on a thread of its own.
+// The client's thread runs libcurl's multi interface.  Start and Cancel add commands to
+// two lists, which the thread takes over after curl_multi_wakeup has woken it.
 
 #include "http/http_client.h"
 
@@ -30,7 +31,7 @@
 
   uint64_t number = 0;
   HttpCall call;
-  bool streams = false;
+  bool has_data_hook = false;
   CURL* easy = nullptr;
   curl_slist* header_list = nullptr;
   std::string body;
@@ -60,13 +61,13 @@
   auto transfer = std::make_unique<Transfer>();
   transfer->number = number;
   transfer->call = std::move(call);
-  transfer->streams = static_cast<bool>(call_hooks.data);
+  transfer->has_data_hook = static_cast<bool>(call_hooks.data);
   transfer->loop = this->loop;
   transfer->hooks = this->hooks;
   (*this->hooks)[number] = std::move(call_hooks);
   {
     std::lock_guard<std::mutex> lock(this->mutex);
-    this->to_begin.push_back(std::move(transfer));
+    this->to_start.push_back(std::move(transfer));
   }
   curl_multi_wakeup(this->multi);
   return number;
@@ -81,12 +82,12 @@
   curl_multi_wakeup(this->multi);
 }
 
-size_t HttpClient::TakeBody(char* data, size_t size, size_t count, void* cls) {
+size_t HttpClient::ReceiveBody(char* data, size_t size, size_t count, void* cls) {
   auto* transfer = static_cast<Transfer*>(cls);
   size_t bytes = size * count;
   long status = 0;
   curl_easy_getinfo(transfer->easy, CURLINFO_RESPONSE_CODE, &status);
-  if (transfer->streams && IsSuccess(status)) {
+  if (transfer->has_data_hook && IsSuccess(status)) {
     transfer->loop->Post(
         [hooks = transfer->hooks, number = transfer->number, part = std::string(data, bytes)] {
           auto found = hooks->find(number);
@@ -104,7 +105,7 @@
 
 void HttpClient::RunThread() {
   while (!this->stopping.load()) {
-    this->TakeCommands();
+    this->ProcessCommands();
     int still_running = 0;
     curl_multi_perform(this->multi, &still_running);
     int left = 0;
@@ -117,15 +118,15 @@
   }
 }
 
-void HttpClient::TakeCommands() {
+void HttpClient::ProcessCommands() {
   std::vector<std::unique_ptr<Transfer>> begin;
   std::vector<uint64_t> cancel;
   {
     std::lock_guard<std::mutex> lock(this->mutex);
-    begin.swap(this->to_begin);
+    begin.swap(this->to_start);
     cancel.swap(this->to_cancel);
   }
-  for (std::unique_ptr<Transfer>& transfer : begin) this->BeginTransfer(std::move(transfer));
+  for (std::unique_ptr<Transfer>& transfer : begin) this->StartTransfer(std::move(transfer));
   for (uint64_t number : cancel) {
     for (auto it = this->running.begin(); it != this->running.end(); ++it) {
       if (it->second->number != number) continue;
@@ -136,7 +137,7 @@
   }
 }
 
-void HttpClient::BeginTransfer(std::unique_ptr<Transfer> transfer) {
+void HttpClient::StartTransfer(std::unique_ptr<Transfer> transfer) {
   CURL* easy = curl_easy_init();
   transfer->easy = easy;
   const HttpCall& call = transfer->call;
@@ -144,7 +145,8 @@
     std::string line = name + ": " + value;
     transfer->header_list = curl_slist_append(transfer->header_list, line.c_str());
   }
-  // No "100 Continue" round trip: our peers take the body at once.
+  // Turns off libcurl's "Expect: 100-continue", which would cost a round trip: our peers
+  // accept the body at once.
   transfer->header_list = curl_slist_append(transfer->header_list, "Expect:");
   curl_easy_setopt(easy, CURLOPT_URL, call.url.c_str());
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call.method.c_str());
@@ -157,7 +159,7 @@
   curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, call.repeatable ? 0L : 1L);
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
-  curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &HttpClient::TakeBody);
+  curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &HttpClient::ReceiveBody);
   curl_easy_setopt(easy, CURLOPT_WRITEDATA, transfer.get());
   curl_multi_add_handle(this->multi, easy);
   this->running[easy] = std::move(transfer);
@@ -170,7 +172,7 @@
   this->running.erase(found);
   HttpResult result;
   result.complete = curl_result == CURLE_OK;
-  // Errors from which it follows that not one byte of the call was sent.
+  // With these errors no byte of the call has been sent.
   result.connected = curl_result != CURLE_COULDNT_CONNECT &&
                      curl_result != CURLE_COULDNT_RESOLVE_HOST &&
                      curl_result != CURLE_URL_MALFORMAT;
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -1,9 +1,9 @@
-// libmicrohttpd's callbacks, tied to HttpExchange.
+// The callbacks of libmicrohttpd, which map its requests to HttpExchange.
 //
 // The library calls the access handler several times for one request: first
 // with the headers, then for each part of the body, then with the body
 // complete, and once more each time a suspended connection is resumed.  The
-// exchange's flags say which of these it is.
+// flags of the exchange distinguish these calls.
 
 #include "http/http_server.h"
 
@@ -17,8 +17,8 @@
 namespace gullward {
 namespace {
 
-// Of a body over the limit, this many times the limit is read and dropped, so
-// that the caller gets its answer; beyond that the connection is closed.
+// A body over the limit is read and discarded up to this many times the limit, so that
+// the caller receives its answer.  The connection of a longer body is closed.
 constexpr size_t kDiscardFactor = 2;
 constexpr size_t kStreamBlockBytes = 32u << 10;
 
@@ -55,7 +55,8 @@
 
 }  // namespace
 
-// The library's callbacks, which need the private members of both classes.
+// The library's callbacks, as a struct so that both classes can declare it a friend: the
+// callbacks use private members of both.
 struct HttpServerCallbacks {
   static ssize_t ReadStream(void* cls, uint64_t, char* buffer, size_t max) {
     HttpExchange& exchange = **static_cast<std::shared_ptr<HttpExchange>*>(cls);
@@ -79,9 +80,10 @@
       std::lock_guard<std::mutex> lock(exchange->mutex);
       if (exchange->aborted) return MHD_NO;
     }
-    // Without the lock: the library locks the response, and calls ReadStream with
-    // it locked, which takes ours. What is read here no longer changes, since the
-    // exchange has been answered.
+    // The exchange's lock must not be held here.  The library locks the response and then
+    // calls ReadStream, which takes the exchange's lock; the opposite order here would
+    // deadlock.  The fields that are read below no longer change, since the exchange has
+    // been answered.
     MHD_Response* answer;
     if (exchange->streaming) {
       answer = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kStreamBlockBytes, &ReadStream,
@@ -113,8 +115,8 @@
     return new std::shared_ptr<HttpExchange>(exchange);
   }
 
-  static MHD_Result TakeBody(const HttpServer& server, HttpExchange& exchange, const char* data,
-                             size_t* size) {
+  static MHD_Result ReceiveBody(const HttpServer& server, HttpExchange& exchange, const char* data,
+                                size_t* size) {
     size_t limit = server.options.max_body_bytes;
     if (exchange.body.size() + *size > limit) exchange.body_result = ResultCode::kBodyTooLarge;
     if (exchange.body_result == ResultCode::kOk) {
@@ -128,12 +130,13 @@
     return MHD_YES;
   }
 
-  static MHD_Result HandOver(HttpServer* server, MHD_Connection* connection,
-                             const std::shared_ptr<HttpExchange>& exchange) {
-    exchange->handed_over = true;
+  static MHD_Result CallHandler(HttpServer* server, MHD_Connection* connection,
+                                const std::shared_ptr<HttpExchange>& exchange) {
+    exchange->handler_called = true;
     {
       std::lock_guard<std::mutex> lock(exchange->mutex);
-      // Nothing may be suspended any more once Stop has resumed the others.
+      // Once Stop has resumed the suspended connections, no further connection may be
+      // suspended, since the library must not be stopped while one is.
       if (exchange->aborted || server->stopping.load()) return MHD_NO;
       MHD_suspend_connection(connection);
       exchange->suspended = true;
@@ -151,8 +154,8 @@
       return MHD_YES;
     }
     std::shared_ptr<HttpExchange> exchange = *static_cast<std::shared_ptr<HttpExchange>*>(*context);
-    if (*size > 0) return TakeBody(*server, *exchange, data, size);
-    if (!exchange->handed_over) return HandOver(server, connection, exchange);
+    if (*size > 0) return ReceiveBody(*server, *exchange, data, size);
+    if (!exchange->handler_called) return CallHandler(server, connection, exchange);
     bool ready;
     {
       std::lock_guard<std::mutex> lock(exchange->mutex);
@@ -281,14 +284,15 @@
     std::lock_guard<std::mutex> lock(this->mutex);
     open.assign(this->open_exchanges.begin(), this->open_exchanges.end());
   }
-  // The library must not be stopped while a connection is suspended.
+  // The library must not be stopped while a connection is suspended; Abort resumes it.
   for (const std::shared_ptr<HttpExchange>& exchange : open) exchange->Abort();
   MHD_stop_daemon(this->daemon);
   this->daemon = nullptr;
 }
 
 void HttpServer::SweepClosed() {
-  // The lock is held throughout: an exchange in the set still owns its socket.
+  // The lock is held throughout, because only an exchange that is still in the set owns
+  // its socket.
   std::vector<std::function<void()>> hooks;
   {
     std::lock_guard<std::mutex> lock(this->mutex);
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -1,18 +1,18 @@
-// An HTTP server whose answers may come later, in parts, from another thread.
+// An HTTP server whose answers may be given later, in parts and from any thread.
 //
-// libmicrohttpd reads requests on its own threads.  Once the whole body is in,
-// the handler is called with an HttpExchange and returns at once; whoever holds
-// the exchange answers it when the answer is there:
+// libmicrohttpd reads requests on its own threads.  When the whole body has arrived, the
+// handler is called with an HttpExchange.  The handler must not block; it keeps the
+// exchange, which is answered as soon as the answer is available:
 //
 //   HttpServer server;
 //   server.Start(options, [&](std::shared_ptr<HttpExchange> exchange) {
 //     loop.Post([exchange] { exchange->Respond({200, "text/plain", {}, "hi"}); });
 //   });
 //
-// While an answer is awaited the connection is suspended: it costs no thread.
-// A suspended connection is not watched by the library, so SweepClosed, called
-// now and then, asks the kernel which callers have gone and runs their `gone`
-// hooks.  A caller that has shut down its sending side counts as gone.
+// While an answer is awaited the connection is suspended and occupies no thread.  The
+// library does not watch a suspended connection, so SweepClosed must be called
+// periodically: it asks the kernel which callers have disconnected and runs their OnGone
+// hooks.  A caller that has shut down its sending side counts as disconnected.
 
 #ifndef GULLWARD_HTTP_HTTP_SERVER_H_
 #define GULLWARD_HTTP_HTTP_SERVER_H_
@@ -46,8 +46,8 @@
   bool operator==(const HttpResponse&) const = default;
 };
 
-// One request and its answer.  The request's fields do not change once the
-// handler has been called; the members that answer are safe from any thread.
+// One request and its answer.  The request's fields do not change once the handler has
+// been called.  The member functions are safe to call from any thread.
 class HttpExchange {
  public:
   std::string method;
@@ -57,29 +57,32 @@
   // Header names in lower case.
   std::map<std::string, std::string> headers;
   std::string body;
-  // kOk, or why the body was not kept (kBodyTooLarge).
+  // kOk, or kBodyTooLarge if the body exceeded Options::max_body_bytes; `body` is empty then.
   ResultCode body_result = ResultCode::kOk;
 
-  // The value of a header, or "".
+  // The value of a header, or "" if the request does not have it.
   std::string Header(const std::string& lower_case_name) const;
 
-  // Runs `hook` once if the caller goes away before the answer is complete; at
-  // once if it has gone already.  The hook runs on a thread of the server.
+  // Runs `hook` once if the caller disconnects before the answer is complete.  The hook
+  // runs on a thread of the server, on the thread that calls SweepClosed, or, if the
+  // exchange has already ended or been aborted, at once on the calling thread.
   void OnGone(std::function<void()> hook);
 
-  // Answers whole.  Later calls do nothing.
+  // Sends the whole answer.  Does nothing if an answer has been started already.
   void Respond(HttpResponse response);
 
-  // Begins an answer in parts; its body is empty so far.
+  // Starts an answer whose body is sent in parts by Write.  Does nothing if an answer has
+  // been started already.
   void StartStream(int status, const std::string& content_type, const HttpHeaders& headers);
 
-  // Adds a part.  Returns the bytes that wait for the caller to read them.
+  // Adds a part to the body.  Returns the number of bytes that are buffered here because
+  // the caller has not read them yet.
   size_t Write(const std::string& part);
 
-  // Ends an answer in parts.
+  // Ends an answer that StartStream has started.
   void FinishStream();
 
-  // Breaks the connection off, so that the caller sees an incomplete answer.
+  // Closes the connection, so that the caller receives an incomplete answer.
   void Abort();
 
  private:
@@ -92,13 +95,16 @@
   MHD_Connection* connection = nullptr;
   int fd = -1;
   size_t discarded_bytes = 0;
-  bool handed_over = false;
+  // The handler has been called.
+  bool handler_called = false;
   bool suspended = false;
   bool responded = false;
   bool streaming = false;
   bool stream_finished = false;
   bool aborted = false;
+  // The library has ended the request.
   bool completed = false;
+  // The whole answer has been sent.
   bool answered_whole = false;
   HttpResponse response;
   std::string stream_buffer;
@@ -109,10 +115,10 @@
  public:
   struct Options {
     SocketAddress address;
-    // A longer body is read, thrown away and flagged with kBodyTooLarge.
+    // A longer body is discarded, and HttpExchange::body_result is kBodyTooLarge.
     size_t max_body_bytes = 32u << 20;
     unsigned threads = 2;
-    // A connection on which nothing moves for so long is closed.
+    // A connection without any traffic for this time is closed.
     unsigned idle_timeout_seconds = 30;
     unsigned max_connections = 4096;
   };
@@ -123,13 +129,15 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Listens and serves until Stop.  The handler runs on the server's threads.
+  // Listens and serves until Stop.  The handler runs on the server's threads.  Returns an
+  // error if the address cannot be bound or the library does not start.
   absl::Status Start(const Options& options, Handler handler);
 
-  // Breaks off all exchanges and joins the threads.
+  // Aborts all exchanges and joins the threads.
   void Stop();
 
-  // Finds callers that have closed while their answer was awaited.
+  // Finds callers that have disconnected while their answer was awaited, runs their
+  // OnGone hooks and aborts their exchanges.
   void SweepClosed();
 
   uint16_t port() const { return this->bound_port; }
--- a/src/http/message_parser.cc
+++ b/src/http/message_parser.cc
@@ -1,5 +1,6 @@
-// message_parser.h tells how these are used.  Beast's basic_parser wants a whole
-// head in one piece, so unread bytes are kept until they suffice.
+// Adapts Boost.Beast's basic_parser to RequestParser and ResponseParser.  basic_parser
+// needs a whole head in one contiguous buffer, so unparsed bytes are buffered until the
+// head is complete.
 
 #include "http/message_parser.h"
 
@@ -18,12 +19,14 @@
 
 // Beast's number for HTTP/1.1.
 constexpr int kVersion11 = 11;
-// Not boost::none: Beast of Boost 1.74 takes that for a limit below every length.
+// Used instead of boost::none, which Beast of Boost 1.74 treats as a limit that every
+// length exceeds.
 constexpr uint64_t kNoLimit = std::numeric_limits<uint64_t>::max();
 
 std::string ToString(beast::string_view text) { return {text.data(), text.size()}; }
 
-// Beast's parser with the two kinds of head behind one face.
+// Beast's parser for both kinds of messages.  It collects the head and passes the head and
+// the parts of the body to the hooks.
 template <bool kIsRequest, typename Head>
 class BeastParser final : public http::basic_parser<kIsRequest> {
  public:
@@ -54,15 +57,15 @@
 
   void on_field_impl(http::field, beast::string_view name, beast::string_view value,
                      ErrorCode&) override {
-    // Trailers come after the head; nobody here needs them.
+    // Trailer fields arrive after the head; they are not used and are dropped.
     if (this->head_done) return;
     this->head.headers.emplace_back(ToString(name), ToString(value));
   }
 
   void on_header_impl(ErrorCode& error) override {
     this->head_done = true;
-    bool names_coding = FindHeader(this->head.headers, "Transfer-Encoding").has_value();
-    if (names_coding && !this->chunked()) {
+    bool has_transfer_coding = FindHeader(this->head.headers, "Transfer-Encoding").has_value();
+    if (has_transfer_coding && !this->chunked()) {
       error = http::error::bad_transfer_encoding;
       return;
     }
@@ -102,24 +105,25 @@
   return ParseState::kMalformed;
 }
 
-// The bytes that wait to be read, and the loop that has Beast read them.
+// Parses as much of `unread` as possible, until the end of one message, and removes the
+// parsed bytes from it.
 template <typename Parser>
-ParseState ReadOn(Parser* parser, std::string* unread) {
-  size_t used = 0;
+ParseState ParseBuffered(Parser* parser, std::string* unread) {
+  size_t offset = 0;
   ParseState state = ParseState::kNeedMore;
-  while (!parser->is_done() && used < unread->size()) {
+  while (!parser->is_done() && offset < unread->size()) {
     ErrorCode error;
-    size_t taken =
-        parser->put(boost::asio::buffer(unread->data() + used, unread->size() - used), error);
-    used += taken;
+    size_t parsed =
+        parser->put(boost::asio::buffer(unread->data() + offset, unread->size() - offset), error);
+    offset += parsed;
     if (error == http::error::need_more) break;
     if (error) {
       state = StateOf(error);
       break;
     }
-    if (taken == 0) break;
+    if (parsed == 0) break;
   }
-  unread->erase(0, used);
+  unread->erase(0, offset);
   if (state == ParseState::kNeedMore && parser->is_done()) state = ParseState::kComplete;
   return state;
 }
@@ -154,7 +158,7 @@
 
 ParseState RequestParser::Feed(std::string_view bytes) {
   this->impl->unread.append(bytes);
-  return ReadOn(&*this->impl->parser, &this->impl->unread);
+  return ParseBuffered(&*this->impl->parser, &this->impl->unread);
 }
 
 void RequestParser::Next() { this->impl->Next(); }
@@ -184,7 +188,7 @@
 
 ParseState ResponseParser::Feed(std::string_view bytes) {
   this->impl->unread.append(bytes);
-  return ReadOn(&*this->impl->parser, &this->impl->unread);
+  return ParseBuffered(&*this->impl->parser, &this->impl->unread);
 }
 
 ParseState ResponseParser::FeedEnd() {
--- a/src/http/message_parser.h
+++ b/src/http/message_parser.h
@@ -1,18 +1,20 @@
-// Reads HTTP/1.1 messages from bytes as they arrive, by Boost.Beast's parser.
+// Incremental parsers for HTTP/1.1 requests and responses, built on Boost.Beast.
 //
-// A parser reads one message after another from the bytes of one connection.
-// It keeps what has come in but not been read yet, and calls its hooks while
-// it reads:
+// A parser reads one message after another from the bytes of one connection.  Feed takes
+// the bytes in pieces of any size, buffers those that cannot be parsed yet, and calls the
+// hooks while it parses:
 //
 //   RequestParser parser({.head = ..., .body = ...}, limits);
 //   ParseState state = parser.Feed(bytes);
 //   if (state == ParseState::kComplete) { ...; parser.Next(); parser.Feed(""); }
 //
-// Nothing after the end of a message is read before Next is called, so that
-// pipelined requests wait their turn and a surplus answer is seen as such.
-// Messages whose framing is ambiguous (two lengths, a length beside chunks, a
-// transfer coding other than chunked) are malformed: passed on, they would let a
-// sender hide a second request in the first one's body.
+// Bytes after the end of a message are not parsed before Next is called.  Pipelined
+// requests are therefore handled one at a time, and has_surplus detects an answer without
+// a request.
+//
+// Messages whose framing is ambiguous (two lengths, a length beside chunks, a transfer
+// coding other than chunked) are malformed: if they were forwarded, a sender could hide a
+// second request in the body of the first (request smuggling).
 
 #ifndef GULLWARD_HTTP_MESSAGE_PARSER_H_
 #define GULLWARD_HTTP_MESSAGE_PARSER_H_
@@ -32,9 +34,9 @@
   std::string method;
   std::string target;
   HttpHeaders headers;
-  // Whether the sender will use the connection again.
+  // Whether the connection stays open after this request.
   bool keep_alive = true;
-  // Whether the sender speaks HTTP/1.1 and so understands chunks.
+  // Whether the sender speaks HTTP/1.1 and therefore accepts chunked transfer coding.
   bool chunks_allowed = true;
 
   bool operator==(const RequestHead&) const = default;
@@ -45,45 +47,50 @@
   std::string reason;
   HttpHeaders headers;
   bool keep_alive = true;
-  // The length of the body where the head tells it.
+  // The Content-Length field; nothing if the head has none.
   std::optional<uint64_t> content_length;
-  // Whether only the end of the connection ends the body.
+  // Whether the body extends to the end of the connection, because the head states
+  // neither a length nor chunks.
   bool ends_with_connection = false;
 
   bool operator==(const ResponseHead&) const = default;
 };
 
 enum class ParseState {
+  // The message is incomplete.
   kNeedMore,
+  // The message has been read to its end.
   kComplete,
   kHeadTooLarge,
   kBodyTooLarge,
   kMalformed,
 };
 
-// Bounds in bytes.  A head without a body counts as a body of none.
+// Limits in bytes.  A request without a body has a body of zero bytes.
 struct ParseLimits {
   uint32_t head_bytes = 16 << 10;
-  // Nothing means no bound: the body is passed on and not kept.
+  // Nothing means no limit.  The parser passes the body to the hook and does not store it.
   std::optional<uint64_t> body_bytes;
 };
 
 class RequestParser {
  public:
   struct Hooks {
+    // Called once for each message.
     std::function<void(RequestHead)> head;
+    // Called for each part of the body.  The bytes are valid only during the call.
     std::function<void(std::string_view)> body;
   };
   RequestParser(Hooks hooks, ParseLimits limits);
   ~RequestParser();
 
-  // Reads on with more bytes.
+  // Parses further bytes of the connection; they may be empty after Next.
   ParseState Feed(std::string_view bytes);
 
-  // Makes ready for the next message.
+  // Prepares for the next message.  Buffered bytes are parsed by the next call of Feed.
   void Next();
 
-  // Whether bytes wait behind the end of a complete message.
+  // Whether there are unparsed bytes; after a complete message, they follow its end.
   bool has_surplus() const;
 
  private:
@@ -102,10 +109,13 @@
 
   ParseState Feed(std::string_view bytes);
 
-  // The connection has ended in good order.  kComplete where that ends a body.
+  // To be called when the peer has closed the connection without an error.  Returns
+  // kComplete if the answer is complete, which includes a body that extends to the end of
+  // the connection, and kMalformed otherwise.
   ParseState FeedEnd();
 
-  // Makes ready for the next answer; `no_body` says that it answers HEAD.
+  // Prepares for the next answer.  `no_body` must be true for the answer to a HEAD
+  // request, which has no body whatever its head states.
   void Next(bool no_body);
 
   bool has_surplus() const;
--- a/src/http/request_channel.cc
+++ b/src/http/request_channel.cc
@@ -1,4 +1,4 @@
-// request_channel.h tells the order of the hooks.
+// Connects a TcpStream to a ResponseParser and maps the end of either to a ChannelResult.
 
 #include "http/request_channel.h"
 
@@ -13,8 +13,8 @@
 
 constexpr int kFirstFinalStatus = 200;
 
-// The seconds of "Keep-Alive: timeout=N", where there are any.
-std::optional<Duration> KeepAliveOf(const ResponseHead& head) {
+// The seconds of the field "Keep-Alive: timeout=N"; nothing if the head does not have it.
+std::optional<Duration> KeepAliveTimeout(const ResponseHead& head) {
   std::optional<std::string_view> value = FindHeader(head.headers, "Keep-Alive");
   if (!value) return std::nullopt;
   for (absl::string_view part : absl::StrSplit(AbslView(*value), ',')) {
@@ -54,22 +54,22 @@
 void RequestChannel::Send(std::string_view request, Hooks request_hooks, bool is_head) {
   this->hooks = std::move(request_hooks);
   this->is_head_request = is_head;
-  this->got_bytes = false;
+  this->received_bytes = false;
   this->skipping = false;
-  this->fit_for_reuse = false;
+  this->is_fit_for_reuse = false;
   this->parser.Next(is_head);
   this->stream->Write(request);
 }
 
 void RequestChannel::OnData(std::string_view bytes) {
-  std::shared_ptr<RequestChannel> keep = this->shared_from_this();
+  std::shared_ptr<RequestChannel> self = this->shared_from_this();
   if (!this->hooks) {
-    // Bytes that belong to no request: the channel is of no more use.
+    // The bytes belong to no request, so the channel cannot be used any more.
     this->Close();
-    if (this->idle_end) this->idle_end();
+    if (this->on_idle_end) this->on_idle_end();
     return;
   }
-  this->got_bytes = true;
+  this->received_bytes = true;
   this->ReadAnswers(this->parser.Feed(bytes));
 }
 
@@ -89,49 +89,49 @@
 
 void RequestChannel::OnHead(const ResponseHead& head) {
   if (this->closed || !this->hooks) return;
-  bool interim = head.status < kFirstFinalStatus;
-  bool ours = !this->hooks->accepts || this->hooks->accepts(head);
-  this->skipping = interim || !ours;
+  bool is_interim = head.status < kFirstFinalStatus;
+  bool is_ours = !this->hooks->accepts || this->hooks->accepts(head);
+  this->skipping = is_interim || !is_ours;
   if (this->skipping) return;
-  this->keep_after_answer = head.keep_alive && !head.ends_with_connection;
-  this->kept_for = KeepAliveOf(head);
+  this->keep_alive_after_answer = head.keep_alive && !head.ends_with_connection;
+  this->keep_alive_timeout = KeepAliveTimeout(head);
   if (this->hooks->head) this->hooks->head(head);
 }
 
 void RequestChannel::OnAnswerComplete() {
   bool all_sent = this->stream->pending() == 0;
-  this->fit_for_reuse = this->keep_after_answer && all_sent && !this->parser.has_surplus();
+  this->is_fit_for_reuse = this->keep_alive_after_answer && all_sent && !this->parser.has_surplus();
   this->first_request = false;
   this->Finish(ChannelResult::kWholeAnswer);
 }
 
 void RequestChannel::OnClosed(StreamEnd end) {
-  std::shared_ptr<RequestChannel> keep = this->shared_from_this();
+  std::shared_ptr<RequestChannel> self = this->shared_from_this();
   if (!this->hooks) {
     this->closed = true;
-    if (this->idle_end) this->idle_end();
+    if (this->on_idle_end) this->on_idle_end();
     return;
   }
   if (end == StreamEnd::kNotConnected || end == StreamEnd::kRefused) {
     this->Finish(ChannelResult::kNotSent);
     return;
   }
-  bool ended_well = end == StreamEnd::kFinished && this->got_bytes && !this->skipping;
-  if (ended_well && this->parser.FeedEnd() == ParseState::kComplete) {
+  bool closed_cleanly = end == StreamEnd::kFinished && this->received_bytes && !this->skipping;
+  if (closed_cleanly && this->parser.FeedEnd() == ParseState::kComplete) {
     this->OnAnswerComplete();
     return;
   }
-  bool unanswered = !this->got_bytes && !this->first_request;
-  this->Finish(unanswered ? ChannelResult::kClosedUnanswered : ChannelResult::kBroken);
+  bool is_unanswered = !this->received_bytes && !this->first_request;
+  this->Finish(is_unanswered ? ChannelResult::kClosedUnanswered : ChannelResult::kBroken);
 }
 
 void RequestChannel::Finish(ChannelResult result) {
   if (!this->hooks) return;
-  // Moved out, since `done` may send the next request or drop the channel.
-  Hooks last = std::move(*this->hooks);
+  // Moved out first, because `done` may send the next request or release the channel.
+  Hooks last_hooks = std::move(*this->hooks);
   this->hooks.reset();
   if (result != ChannelResult::kWholeAnswer) this->Close();
-  if (last.done) last.done(result);
+  if (last_hooks.done) last_hooks.done(result);
 }
 
 void RequestChannel::Close() {
--- a/src/http/request_channel.h
+++ b/src/http/request_channel.h
@@ -1,14 +1,13 @@
-// A connection that we opened, and the one request that is on it.
+// An outgoing HTTP connection that carries one request at a time.
 //
 //   auto channel = RequestChannel::Open(&loop, address);
 //   channel->Send(text, {.accepts = ..., .head = ..., .body = ..., .done = ...},
 //   /*is_head=*/false);
 //
-// A channel carries one request at a time.  After `done` with a whole answer it
-// may carry the next one if reusable().  An answer that `accepts` turns down
-// belongs to an earlier request: it is read, thrown away, and the right one is
-// waited for.  `done` is called once for each Send, last of all hooks; none is
-// called after Close.
+// After `done` has reported a whole answer, the channel can carry the next request if
+// reusable() is true.  An answer for which `accepts` returns false belongs to an earlier
+// request: the channel discards it and waits for the next answer.  For each Send, `done`
+// is called once, after all other hooks.  No hook is called after Close.
 
 #ifndef GULLWARD_HTTP_REQUEST_CHANNEL_H_
 #define GULLWARD_HTTP_REQUEST_CHANNEL_H_
@@ -27,44 +26,49 @@
 // How a request on a channel ended.
 enum class ChannelResult {
   kWholeAnswer,
-  // The connection never stood: the server saw nothing.
+  // No connection was established, so the server received nothing.
   kNotSent,
-  // A kept connection turned out to be closed, and no byte of an answer came.
+  // A reused connection was closed before any byte of an answer arrived.
   kClosedUnanswered,
-  // The answer broke off or is no HTTP.
+  // The connection ended before the answer was complete, or the answer is not valid HTTP.
   kBroken,
 };
 
 class RequestChannel : public std::enable_shared_from_this<RequestChannel> {
  public:
   struct Hooks {
-    // Whether an answer is to this request; absent means every one is.
+    // Whether an answer belongs to this request.  If not set, every answer does.
     std::function<bool(const ResponseHead&)> accepts;
+    // Called once with the head of the final answer; interim (1xx) answers are discarded.
     std::function<void(const ResponseHead&)> head;
+    // Called for each part of the body.  The bytes are valid only during the call.
     std::function<void(std::string_view)> body;
     std::function<void(ChannelResult)> done;
   };
 
+  // Starts to connect.  Send may be called before the connection is established.
   static std::shared_ptr<RequestChannel> Open(EventLoop* loop, const SocketAddress& address);
   ~RequestChannel();
 
-  // Sends a request; `is_head` says that its answer has no body.
+  // Sends a request, given as the bytes of its head and body.  `is_head` must be true for
+  // a HEAD request, whose answer has no body.
   void Send(std::string_view request, Hooks request_hooks, bool is_head);
 
-  // Runs when the server closes the channel, or says something, while no request
-  // is on it.
-  void OnIdleEnd(std::function<void()> hook) { this->idle_end = std::move(hook); }
+  // Sets a hook that runs when the server closes the channel, or sends bytes, while no
+  // request is under way.
+  void OnIdleEnd(std::function<void()> hook) { this->on_idle_end = std::move(hook); }
 
-  // Whether the answer that ended left the channel fit for another request.
-  bool reusable() const { return this->fit_for_reuse && !this->closed; }
+  // Whether the channel can carry another request after its last answer.
+  bool reusable() const { return this->is_fit_for_reuse && !this->closed; }
 
-  // Until when the server promises to keep the idle channel, from the last answer.
-  std::optional<Duration> keep_alive() const { return this->kept_for; }
+  // For how long the server keeps the idle channel open, as stated in the Keep-Alive
+  // field of the last answer; nothing if the field is absent.
+  std::optional<Duration> keep_alive() const { return this->keep_alive_timeout; }
 
-  // Whether the connection does not stand yet: the server has seen nothing.
+  // Whether the connection is not established yet, so that the server has received nothing.
   bool is_connecting() const { return !this->closed && this->stream->is_connecting(); }
 
-  // Stops and resumes reading the answer.
+  // Pauses (false) or resumes (true) reading the answer.
   void SetReading(bool wanted) { this->stream->SetReading(wanted); }
 
   void Close();
@@ -81,16 +85,16 @@
   std::shared_ptr<TcpStream> stream;
   ResponseParser parser;
   std::optional<Hooks> hooks;
-  std::function<void()> idle_end;
+  std::function<void()> on_idle_end;
   bool is_head_request = false;
   bool first_request = true;
-  bool got_bytes = false;
-  // The answer that is being read is not to our request, or is interim.
+  bool received_bytes = false;
+  // The answer that is being read belongs to an earlier request, or is interim (1xx).
   bool skipping = false;
-  bool keep_after_answer = false;
-  bool fit_for_reuse = false;
+  bool keep_alive_after_answer = false;
+  bool is_fit_for_reuse = false;
   bool closed = false;
-  std::optional<Duration> kept_for;
+  std::optional<Duration> keep_alive_timeout;
 };
 
 }  // namespace gullward
--- a/src/http/testing/message_parser_test.cc
+++ b/src/http/testing/message_parser_test.cc
@@ -1,5 +1,5 @@
-// Messages in one piece and byte by byte, framing that could hide a request, and
-// answers that end in every way.
+// Tests that messages parse alike whole and byte by byte, that ambiguous framing, which
+// could smuggle a request, is malformed, and that answers end as their heads state.
 
 #define BOOST_TEST_MODULE message_parser
 #include "http/message_parser.h"
@@ -21,8 +21,9 @@
   RequestParser parser({.head = [&](RequestHead head) { parsed.head = std::move(head); },
                         .body = [&](std::string_view bytes) { parsed.body.append(bytes); }},
                        limits);
-  for (size_t at = 0; at < text.size() && parsed.state == ParseState::kNeedMore; at += step) {
-    parsed.state = parser.Feed(std::string_view(text).substr(at, step));
+  for (size_t offset = 0; offset < text.size() && parsed.state == ParseState::kNeedMore;
+       offset += step) {
+    parsed.state = parser.Feed(std::string_view(text).substr(offset, step));
   }
   parsed.surplus = parser.has_surplus();
   return parsed;
@@ -35,7 +36,7 @@
   const char* body;
 };
 
-BOOST_AUTO_TEST_CASE(RequestsReadAlikeWholeAndByteByByte) {
+BOOST_AUTO_TEST_CASE(RequestsParseAlikeWholeAndInPieces) {
   const std::string line = "POST /a HTTP/1.1\r\nHost: h\r\n";
   const RequestRow table[] = {
       {"length", line + "Content-Length: 3\r\n\r\nabc", ParseState::kComplete, "abc"},
@@ -45,7 +46,7 @@
       {"chunks and a trailer",
        line + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-T: t\r\n\r\n",
        ParseState::kComplete, "a"},
-      {"cut body", line + "Content-Length: 3\r\n\r\nab", ParseState::kNeedMore, "ab"},
+      {"truncated body", line + "Content-Length: 3\r\n\r\nab", ParseState::kNeedMore, "ab"},
       {"same length twice", line + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
        ParseState::kMalformed, ""},
       {"length and chunks",
@@ -54,11 +55,11 @@
       {"chunks and length",
        line + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
        ParseState::kMalformed, ""},
-      {"coding that only looks chunked", line + "Transfer-Encoding: xchunked\r\n\r\n",
+      {"transfer coding that only contains chunked", line + "Transfer-Encoding: xchunked\r\n\r\n",
        ParseState::kMalformed, ""},
       {"chunked is not the last coding", line + "Transfer-Encoding: chunked, identity\r\n\r\n",
        ParseState::kMalformed, ""},
-      {"blank before the colon", line + "Content-Length : 3\r\n\r\nabc", ParseState::kMalformed,
+      {"space before the colon", line + "Content-Length : 3\r\n\r\nabc", ParseState::kMalformed,
        ""},
       {"negative length", line + "Content-Length: -1\r\n\r\n", ParseState::kMalformed, ""},
       {"no request line", "\x01\x02\r\n\r\n", ParseState::kMalformed, ""},
@@ -74,7 +75,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LimitsAreKept) {
+BOOST_AUTO_TEST_CASE(LimitsAreEnforced) {
   ParseLimits limits{64, 4};
   std::string head = "POST / HTTP/1.1\r\n";
   BOOST_TEST((ParseRequest(head + "X: " + std::string(80, 'x') + "\r\n\r\n", 16, limits).state ==
@@ -88,7 +89,7 @@
            .state == ParseState::kBodyTooLarge));
 }
 
-BOOST_AUTO_TEST_CASE(WhatFollowsAMessageWaitsForNext) {
+BOOST_AUTO_TEST_CASE(BytesAfterAMessageAreNotParsedBeforeNext) {
   std::string both = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
   std::vector<std::string> targets;
   RequestParser parser({.head = [&](const RequestHead& head) { targets.push_back(head.target); },
@@ -108,26 +109,26 @@
   const char* text;
   bool no_body;
   ParseState state;
-  // After the connection has ended in good order.
-  ParseState at_end;
+  // The result of FeedEnd, that is after the server has closed the connection.
+  ParseState end_state;
   const char* body;
 };
 
-BOOST_AUTO_TEST_CASE(AnswersEndAsTheirHeadSays) {
+BOOST_AUTO_TEST_CASE(AnswersEndAsTheirHeadStates) {
   const ResponseRow table[] = {
-      // Beast of Boost 1.74 took "no limit" for a limit of zero.
+      // Guards against Beast of Boost 1.74, which treats boost::none as a body limit of zero.
       {"length", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false, ParseState::kComplete,
        ParseState::kComplete, "abc"},
-      {"cut", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false, ParseState::kNeedMore,
+      {"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false, ParseState::kNeedMore,
        ParseState::kMalformed, "ab"},
       {"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", false,
        ParseState::kComplete, ParseState::kComplete, "a"},
-      {"cut chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", false,
+      {"truncated chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", false,
        ParseState::kNeedMore, ParseState::kMalformed, "a"},
-      {"to the end", "HTTP/1.1 200 OK\r\n\r\nabc", false, ParseState::kNeedMore,
-       ParseState::kComplete, "abc"},
-      {"to a HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", true, ParseState::kComplete,
-       ParseState::kComplete, ""},
+      {"body to the end of the connection", "HTTP/1.1 200 OK\r\n\r\nabc", false,
+       ParseState::kNeedMore, ParseState::kComplete, "abc"},
+      {"answer to HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", true,
+       ParseState::kComplete, ParseState::kComplete, ""},
       {"no content", "HTTP/1.1 204 None\r\n\r\n", false, ParseState::kComplete,
        ParseState::kComplete, ""},
       {"nonsense", "garbled bytes\r\n\r\n", false, ParseState::kMalformed, ParseState::kMalformed,
@@ -140,26 +141,26 @@
                              .body = [&](std::string_view bytes) { body.append(bytes); }});
       parser.Next(row.no_body);
       BOOST_TEST((parser.Feed(row.text) == row.state));
-      if (row.state != ParseState::kMalformed) BOOST_TEST((parser.FeedEnd() == row.at_end));
+      if (row.state != ParseState::kMalformed) BOOST_TEST((parser.FeedEnd() == row.end_state));
       BOOST_TEST(body == row.body);
     }
   }
 }
 
-bool KeepsModel(std::string_view name) { return SameHeaderName(name, "Model"); }
+bool IsModelField(std::string_view name) { return SameHeaderName(name, "Model"); }
 
-BOOST_AUTO_TEST_CASE(HopByHopFieldsGoAndEndToEndFieldsCannotBeNamedAway) {
+BOOST_AUTO_TEST_CASE(ConnectionRemovesHopByHopFieldsButNotKeptFields) {
   HttpHeaders headers = {
       {"Host", "h"},       {"connection", "X-Private, model"}, {"X-Private", "1"}, {"MODEL", "m"},
       {"Keep-Alive", "5"}, {"Transfer-Encoding", "chunked"},   {"X-Other", "2"}};
-  RemoveHopByHopHeaders(&headers, KeepsModel);
+  RemoveHopByHopHeaders(&headers, IsModelField);
   const HttpHeaders expected = {{"Host", "h"}, {"MODEL", "m"}, {"X-Other", "2"}};
   BOOST_TEST((headers == expected));
   BOOST_TEST(FindHeader(headers, "model").value_or("") == "m");
   BOOST_TEST(!FindHeader(headers, "absent").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(CountsAreWholeNumbersOnly) {
+BOOST_AUTO_TEST_CASE(ParseCountAcceptsOnlyWholeNumbers) {
   BOOST_TEST(ParseCount("0").value_or(9) == 0u);
   BOOST_TEST(ParseCount("18446744073709551615").has_value());
   for (const char* text : {"", "-1", "+1", " 1", "1 ", "1.0", "18446744073709551616", "x"}) {
