--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -1,6 +1,6 @@
-// One Pack and one Unpack function for each message, side by side, so that a
-// field missing from one of them is seen beside the other.  The exhaustive
-// round-trip test sets every field of every message to a value of its own.
+// Each message has a Pack and an Unpack function.  They stand side by side, so that a field
+// that one of them omits is easy to notice.  The round-trip test in
+// wire/testing/codec_test.cc sets every field of every message to a distinct value.
 
 #include "wire/codec.h"
 
@@ -332,7 +332,7 @@
 }
 
 fb::Message KindOf(const Message& message) {
-  // The union's values count from 1 in the order of the variant's types.
+  // The values of the union start at 1 and follow the order of the variant's types.
   return static_cast<fb::Message>(message.index() + 1);
 }
 
@@ -423,8 +423,8 @@
   return std::string(reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize());
 }
 
-// The length goes in front by hand: FlatBuffers' own size prefix is part of the
-// alignment, so a buffer that was finished with it cannot be read without it.
+// Prepends the length.  FlatBuffers' own size prefix is not used, because it takes part in
+// the alignment: a buffer that was finished with the prefix cannot be read without it.
 std::string WithLength(const FlatBufferBuilder& builder) {
   uint32_t size = builder.GetSize();
   std::string frame;
@@ -489,7 +489,7 @@
 std::string EncodeRecord(const LogRecord& record) {
   FlatBufferBuilder builder(256);
   Offset<void> body = std::visit([&](const auto& r) { return Pack(builder, r); }, record);
-  // UnknownRecord is index 0 and the union's NONE is 0 too.
+  // The index of UnknownRecord is 0, as is the union's value NONE.
   auto kind = static_cast<fb::LogBody>(record.index());
   builder.Finish(fb::CreateLogRecord(builder, kind, body));
   return FinishedBytes(builder);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,16 +1,15 @@
-// Turns messages and log records into bytes and back.
+// Encodes messages and log records as FlatBuffers and decodes them.
 //
-// A frame on a connection is four bytes of length, least significant first,
-// and then that many bytes of FlatBuffers.  Nothing a peer sends is trusted: a
-// buffer is verified as a whole before a field of it is read, and one that
-// fails is an error value, never a crash.  Encoding cannot fail.
+// A frame on a connection consists of a length in four bytes, least significant first, and
+// that many bytes of FlatBuffers.  Bytes from a peer are not trusted: the whole buffer is
+// verified before any field is read, and a buffer that fails verification gives an error,
+// never a crash.  Encoding cannot fail.
 //
 //   connection.Write(EncodeFrame(Cancel{id}));
 //   absl::StatusOr<Message> message = DecodeMessage(bytes_without_length);
 //
-// Log records carry the schema number of their writer.  A record with another
-// number is not an error of the bytes: it decodes to UnknownRecord, which every
-// reader skips and counts alike.
+// Log records carry the schema number of their writer.  A record with another schema number
+// is not an error: it decodes to UnknownRecord, which every reader skips and counts.
 
 #ifndef GULLWARD_WIRE_CODEC_H_
 #define GULLWARD_WIRE_CODEC_H_
@@ -24,25 +23,25 @@
 
 namespace gullward {
 
-// The bytes of length in front of each frame.
+// Size of the length in front of each frame.
 inline constexpr size_t kFrameHeaderBytes = 4;
 
-// The longest frame that is accepted: a prompt of a million tokens is about
-// 5 MB, so this leaves room for text with many bytes a token.
+// The longest frame that is accepted, without its header.  A prompt of a million tokens has
+// about 5 MB, so this leaves a margin for texts with more bytes per token.
 inline constexpr size_t kMaxFrameBytes = 24u << 20;
 
-// A whole frame: length and FlatBuffers.
+// Returns a whole frame, including the length.
 std::string EncodeFrame(const Message& message);
 
-// Reads one message from a frame without its length.  Returns
-// InvalidArgument where the bytes fail verification or name an unknown kind.
+// Decodes the message of a frame, given without the length.  Returns InvalidArgument if the
+// bytes fail verification or hold a message of an unknown kind.
 absl::StatusOr<Message> DecodeMessage(std::string_view bytes);
 
-// A record for the platform's log.
+// Encodes a record for the platform's log.
 std::string EncodeRecord(const LogRecord& record);
 
-// Reads a record of the log.  Bytes that fail verification and records of
-// another schema both give UnknownRecord: all readers must skip the same ones.
+// Decodes a record of the log.  Returns UnknownRecord both for bytes that fail verification
+// and for records of another schema, so that all readers skip the same records.
 LogRecord DecodeRecord(std::string_view bytes);
 
 }  // namespace gullward
--- a/src/wire/log_records.h
+++ b/src/wire/log_records.h
@@ -1,9 +1,10 @@
-// The records that gullward keeps in the platform's log, as value types.
+// The records that gullward writes to the platform's log, as value types.
 //
-// The offset that the log gives a record is its place in the one order that all
-// processes agree on, so no record holds a time or an order of its own.  Every
-// record names its writer and a number of that writer: an append whose answer
-// was lost is settled by reading forward for that pair.
+// The log assigns an offset to each record, which defines the order of records for all
+// processes; the records themselves hold neither a time nor a position.  Every change and
+// batch holds its writer and the writer's sequence number: if the answer to an append is
+// lost, the writer reads the log forward and looks for this pair to find out whether the
+// append took effect.
 
 #ifndef GULLWARD_WIRE_LOG_RECORDS_H_
 #define GULLWARD_WIRE_LOG_RECORDS_H_
@@ -17,10 +18,10 @@
 
 namespace gullward {
 
-// The schema that this version writes and reads.
+// The schema number that this version writes and reads.
 inline constexpr uint32_t kLogSchema = 1;
 
-// Names one append: the writing process and its own counter.
+// Identifies one append: the writing process and its counter of appends.
 struct WriterSequence {
   uint64_t writer = 0;
   uint64_t sequence = 0;
@@ -28,8 +29,8 @@
   auto operator<=>(const WriterSequence&) const = default;
 };
 
-// One object of a change.  based_on is the version that it replaces: the offset
-// of the record that last wrote the object, -1 for an object that is new.
+// One object of a change.  based_on is the version that the change replaces: the offset of
+// the record that last wrote the object, or -1 for a new object.
 struct ObjectChange {
   std::string kind;
   std::string name;
@@ -40,7 +41,7 @@
   bool operator==(const ObjectChange&) const = default;
 };
 
-// One published change: all of its objects change, or none.
+// One published change, applied atomically: either all of its objects change or none.
 struct ConfigChange {
   WriterSequence id;
   std::vector<ObjectChange> objects;
@@ -67,7 +68,7 @@
 
 enum class ClaimKind : uint8_t { kClaim = 0, kRelease = 1 };
 
-// Claims an idempotency key (by its hash) for a request, or gives it back.
+// Claims an idempotency key, given by its hash, for a request, or releases the key.
 struct ClaimRecord {
   ClaimKind kind = ClaimKind::kClaim;
   uint64_t key_hash = 0;
@@ -76,7 +77,7 @@
   bool operator==(const ClaimRecord&) const = default;
 };
 
-// Claims of one process, written by one append.
+// Claims of one process, written with one append.
 struct ClaimBatch {
   WriterSequence id;
   std::vector<ClaimRecord> records;
@@ -84,7 +85,7 @@
   bool operator==(const ClaimBatch&) const = default;
 };
 
-// A record that this version cannot read.
+// A record that this version cannot decode.
 struct UnknownRecord {
   bool operator==(const UnknownRecord&) const = default;
 };
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,8 +1,8 @@
 // The messages between gullward's processes, as plain value types.
 //
-// The decision cores speak in these types and never see bytes; wire/codec.h
-// turns a Message into one FlatBuffers frame and back.  Durations travel in
-// milliseconds, never as points in time: two boxes do not share a clock.
+// The decision cores use only these types; wire/codec.h encodes a Message as one FlatBuffers
+// frame and decodes it.  Messages carry durations in milliseconds, never points in time,
+// because the clocks of two boxes are not synchronized.
 //
 //   Message message = Refused{attempt, 0, ResultCode::kNoMemory, 250};
 //   std::string frame = EncodeFrame(message);
@@ -20,19 +20,19 @@
 
 namespace gullward {
 
-// Version of this protocol; a Hello with another one closes the connection.
+// Version of this protocol.  A Hello with another version closes the connection.
 inline constexpr uint32_t kProtocolVersion = 1;
 
-// What is known of whether a request's work was started.
+// Whether work on a request was started, as far as the sender can tell.
 enum class Ran : uint8_t { kNo = 0, kUnknown = 1, kYes = 2 };
 
-// "no", "unknown" or "yes", as callers see it.
+// "no", "unknown" or "yes", as sent to callers.
 inline const char* ToString(Ran ran) {
   if (ran == Ran::kNo) return "no";
   return ran == Ran::kYes ? "yes" : "unknown";
 }
 
-// First message of each side of a connection.
+// The first message that each side of a connection sends.
 struct Hello {
   std::string box;
   std::string zone;
@@ -51,7 +51,8 @@
   bool operator==(const EntryHeartbeat&) const = default;
 };
 
-// The last dispatch of one entry that a load report already counts.
+// The last dispatch of one entry that a load report already includes.  `incarnation` is that
+// of the entry; `sequence` is the number of the dispatch (Offer::dispatch).
 struct IncludedDispatch {
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
@@ -67,8 +68,9 @@
   bool operator==(const CacheHint&) const = default;
 };
 
-// Load of one engine.  backlog_ms is prefill work not yet done, apart for each
-// priority (0 is the most urgent), at the speed measured for this engine.
+// Load of one engine.  Tokens are KV-cache tokens.  backlog_ms holds, for each priority
+// (index 0 is the most urgent), the time that the prefill work not yet done takes at the
+// speed measured for this engine.
 struct EngineLoad {
   uint32_t engine = 0;
   std::string name;
@@ -98,7 +100,7 @@
   bool operator==(const EndpointHeartbeat&) const = default;
 };
 
-// KV cache of an earlier piece of the same prompt, held on another engine.
+// The KV cache of an earlier piece of the same prompt, held on another engine.
 struct KvContext {
   std::string address;
   std::string allocation;
@@ -107,7 +109,8 @@
   bool operator==(const KvContext&) const = default;
 };
 
-// Asks for memory for one piece of a prompt larger than one engine.
+// Asks an endpoint process to reserve memory for one piece of a prompt that is larger than
+// one engine.
 struct Reserve {
   AttemptId id;
   uint32_t engine = 0;
@@ -119,7 +122,7 @@
   bool operator==(const Reserve&) const = default;
 };
 
-// The memory asked for by Reserve is held until Cancel or the lease's end.
+// The memory that Reserve asked for is held until Cancel or until the lease ends.
 struct Reserved {
   AttemptId id;
   uint32_t engine = 0;
@@ -127,8 +130,8 @@
   bool operator==(const Reserved&) const = default;
 };
 
-// Asks an endpoint process to run a request, or one piece of it.  A piece that
-// is not the last is only prefilled, and its KV cache kept.
+// Asks an endpoint process to run a request, or one piece of it.  Any piece but the last is
+// only prefilled, and its KV cache is kept.
 struct Offer {
   AttemptId id;
   uint64_t dispatch = 0;
@@ -146,7 +149,8 @@
   uint32_t pieces = 1;
   std::vector<KvContext> context;
   int64_t config_offset = -1;
-  // The rest is for a plain service's call; prompt is then its body.
+  // The next four fields are set only for a call of a plain service; `prompt` is then the
+  // body of the call.
   std::string service;
   std::string method;
   std::string path;
@@ -157,8 +161,8 @@
   bool operator==(const Offer&) const = default;
 };
 
-// The endpoint process owns the attempt now; it may still hand it back with
-// Refused as long as it has not started it.
+// The endpoint process has taken over the attempt.  Until it starts the attempt, it may
+// still return it with Refused.
 struct Accepted {
   AttemptId id;
 
@@ -175,7 +179,7 @@
   bool operator==(const Refused&) const = default;
 };
 
-// A part of the answer; parts count from 0 within one attempt.
+// A part of the answer.  `index` counts the parts of one attempt from 0.
 struct Chunk {
   AttemptId id;
   uint64_t index = 0;
@@ -185,25 +189,26 @@
   bool operator==(const Chunk&) const = default;
 };
 
-// The last message of an attempt that went well.
+// The last message of a successful attempt.
 struct Done {
   AttemptId id;
+  // Number of Chunk messages of the attempt.
   uint64_t chunks = 0;
   std::string finish_reason;
   uint64_t prompt_tokens = 0;
   uint64_t cached_tokens = 0;
   uint64_t completion_tokens = 0;
   uint32_t piece = 0;
-  // Where a prefilled piece's KV cache is kept.
+  // Where the KV cache of a piece that was only prefilled is kept.
   KvContext kept;
-  // HTTP status and type of a plain service's answer.
+  // HTTP status and content type of a plain service's answer; status is 0 for others.
   uint32_t status = 0;
   std::string content_type;
 
   bool operator==(const Done&) const = default;
 };
 
-// The attempt was started, or may have been, and broke.
+// The attempt failed after it was started or may have been started.
 struct Failed {
   AttemptId id;
   ResultCode code = ResultCode::kInternal;
@@ -212,14 +217,14 @@
   bool operator==(const Failed&) const = default;
 };
 
-// Stop the attempt and free what it holds.  Safe to repeat.
+// Asks the endpoint process to stop the attempt and release its resources.  Idempotent.
 struct Cancel {
   AttemptId id;
 
   bool operator==(const Cancel&) const = default;
 };
 
-// One record of the configuration stream, with the offset the log gave it.
+// One record of the configuration stream, with the offset that the log assigned to it.
 struct OffsetRecord {
   int64_t offset = -1;
   std::string body;
@@ -234,7 +239,8 @@
   bool operator==(const ConfigFetch&) const = default;
 };
 
-// Answer to ConfigFetch: records in order, the first of which may be a snapshot.
+// Answer to ConfigFetch: records in the order of their offsets.  The first one may be a
+// snapshot.
 struct ConfigRecords {
   std::vector<OffsetRecord> records;
 
--- a/src/wire/testing/codec_test.cc
+++ b/src/wire/testing/codec_test.cc
@@ -1,4 +1,5 @@
-// Every message survives the way there and back, and no bytes do harm.
+// Tests that every message and log record is unchanged after encoding and decoding, and that
+// truncated, damaged or foreign bytes are rejected without a crash.
 
 #define BOOST_TEST_MODULE codec
 #include "wire/codec.h"
@@ -11,7 +12,7 @@
 
 const AttemptId kId{{0x1122334455667788u, 42}, 3};
 
-// One message of each kind, with every field set to a value of its own.
+// One message of each kind, with every field set to a distinct value.
 std::vector<Message> AllMessages() {
   EngineLoad load{1,
                   "engine",
@@ -85,7 +86,7 @@
 
 std::string Body(const std::string& frame) { return frame.substr(kFrameHeaderBytes); }
 
-BOOST_AUTO_TEST_CASE(MessagesSurvive) {
+BOOST_AUTO_TEST_CASE(MessagesRoundTrip) {
   std::vector<Message> messages = AllMessages();
   BOOST_TEST(messages.size() == std::variant_size_v<Message>);
   for (size_t i = 0; i < messages.size(); ++i) {
@@ -96,40 +97,40 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(RecordsSurvive) {
+BOOST_AUTO_TEST_CASE(RecordsRoundTrip) {
   for (const LogRecord& record : AllRecords()) {
     BOOST_TEST((DecodeRecord(EncodeRecord(record)) == record));
   }
 }
 
-BOOST_AUTO_TEST_CASE(TruncatedFramesAreRefused) {
+BOOST_AUTO_TEST_CASE(TruncatedFramesAreRejected) {
   for (const Message& message : AllMessages()) {
     std::string body = Body(EncodeFrame(message));
     for (size_t length = 0; length < body.size(); ++length) {
       absl::StatusOr<Message> decoded = DecodeMessage(body.substr(0, length));
-      // A cut of the padding at the end may leave a whole message.
+      // If only padding at the end is missing, the message may still be whole.
       if (decoded.ok()) BOOST_TEST((*decoded == message));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(DamagedFramesDoNoHarm) {
+BOOST_AUTO_TEST_CASE(DamagedFramesAreRejectedOrDecodedWithoutCrash) {
   std::mt19937_64 random(1);
-  int refused = 0;
+  int rejected = 0;
   for (const Message& message : AllMessages()) {
     std::string body = Body(EncodeFrame(message));
     for (int round = 0; round < 2000; ++round) {
       std::string damaged = body;
-      for (int flips = 0; flips < 3; ++flips) {
+      for (int changes = 0; changes < 3; ++changes) {
         damaged[random() % damaged.size()] = static_cast<char>(random());
       }
-      if (!DecodeMessage(damaged).ok()) ++refused;
+      if (!DecodeMessage(damaged).ok()) ++rejected;
     }
   }
-  BOOST_TEST(refused > 1000);
+  BOOST_TEST(rejected > 1000);
 }
 
-BOOST_AUTO_TEST_CASE(ForeignRecordsAreUnknown) {
+BOOST_AUTO_TEST_CASE(BytesThatAreNoRecordDecodeToUnknownRecord) {
   BOOST_TEST((DecodeRecord("") == LogRecord(UnknownRecord{})));
   BOOST_TEST((DecodeRecord("not a record at all, only text") == LogRecord(UnknownRecord{})));
   BOOST_TEST((DecodeRecord(Body(EncodeFrame(AllMessages()[0]))) == LogRecord(UnknownRecord{})));
--- a/src/wire/text.h
+++ b/src/wire/text.h
@@ -1,8 +1,8 @@
-// Messages as one line of text each, for golden session files, logs and dumps.
+// Formats messages as one line of text each, for golden session files, logs and dumps.
 //
 //   Text(Refused{...})  ->  "refused 0000000000000001-7.1 engine=0 no_memory retry=250ms"
 //
-// Long texts are shown by their length and a hash, so that a line stays a line.
+// Long texts are replaced by their length and a hash, to keep the lines short.
 
 #ifndef GULLWARD_WIRE_TEXT_H_
 #define GULLWARD_WIRE_TEXT_H_
@@ -14,8 +14,9 @@
 
 namespace gullward {
 
-// A text itself in quotes, or its length and hash where it is long.
-std::string Brief(const std::string& text);
+// Returns a text of at most 40 bytes in quotes, with newlines, quotes and backslashes
+// escaped, and its length and hash if it is longer: "<7500 bytes 0123456789abcdef>".
+std::string Abbreviate(const std::string& text);
 
 std::string Text(const Message& message);
 std::string Text(const ClaimBatch& batch);
