--- a/src/transport/event_loop.cc
+++ b/src/transport/event_loop.cc
@@ -1,4 +1,4 @@
-// The loop itself; event_loop.h tells how it is used.
+// Level-triggered epoll with at most kMaxEvents events in one round.
 
 #include "transport/event_loop.h"
 
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kMaxEvents = 64;
-constexpr Duration kLongestWait = seconds(1);
+constexpr Duration kMaxWait = seconds(1);
 
 }  // namespace
 
@@ -35,22 +35,23 @@
 }
 
 void EventLoop::Run() {
-  while (!this->stopping.load()) this->RunOnce(kLongestWait);
+  while (!this->stopping.load()) this->RunOnce(kMaxWait);
 }
 
-void EventLoop::RunOnce(Duration longest) {
+void EventLoop::RunOnce(Duration max_wait) {
   epoll_event events[kMaxEvents];
-  // Asked first without waiting: only that tells whether there is anything to catch up with.
-  Time asked = Now();
+  // The first call does not wait: only if it returns no event is it known that no event was
+  // pending at poll_time.
+  Time poll_time = Now();
   int count = epoll_wait(this->epoll_fd, events, kMaxEvents, /*timeout=*/0);
   if (count == 0) {
-    this->caught_up = asked;
-    count = epoll_wait(this->epoll_fd, events, kMaxEvents, this->WaitMillis(longest));
+    this->last_idle = poll_time;
+    count = epoll_wait(this->epoll_fd, events, kMaxEvents, this->WaitMillis(max_wait));
   }
   for (int i = 0; i < count; ++i) {
     auto found = this->handlers.find(events[i].data.fd);
     if (found == this->handlers.end()) continue;
-    // A copy, since the handler may unwatch itself.
+    // A copy, because the handler may unwatch its own descriptor.
     FdHandler handler = found->second;
     handler(events[i].events);
   }
@@ -122,11 +123,12 @@
   }
 }
 
-int EventLoop::WaitMillis(Duration longest) const {
-  Duration left = longest;
+int EventLoop::WaitMillis(Duration max_wait) const {
+  Duration left = max_wait;
   if (!this->timers.empty()) left = std::min<Duration>(left, this->timers.top().due - Now());
   if (left.count() <= 0) return 0;
-  // Rounded up, so that the loop does not spin through the last millisecond.
+  // Rounded up, because rounding down would make the loop poll without waiting during the
+  // last millisecond.
   return static_cast<int>(left.count() / 1000 + 1);
 }
 
--- a/src/transport/frame_connection.cc
+++ b/src/transport/frame_connection.cc
@@ -1,4 +1,4 @@
-// Reading and writing of frames; frame_connection.h tells the rules.
+// Reads until the kernel has no more data, decodes the whole frames, and keeps the rest.
 
 #include "transport/frame_connection.h"
 
@@ -17,11 +17,11 @@
 namespace gullward {
 namespace {
 
-// Read at once, on the stack: a quiet connection keeps no buffer.
+// Size of the read buffer.  It is on the stack, so that an idle connection needs none.
 constexpr size_t kReadBytes = 64u << 10;
 
-// Output that has been sent is dropped from the buffer's front once it is this
-// long, so that a steady stream does not copy the rest for every write.
+// Sent bytes are erased from the front of the output buffer only when there are more than
+// this many of them, so that the remaining bytes are not moved after every write.
 constexpr size_t kCompactBytes = 1 << 20;
 
 uint32_t ReadLength(const char* bytes) {
@@ -37,7 +37,7 @@
   sockaddr_storage storage;
   socklen_t length = address.Fill(&storage);
   int fd = socket(storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  // The error of an immediate failure is read back by FinishConnecting.
+  // An immediate failure closes the connection from a posted task, below.
   int result = connect(fd, reinterpret_cast<sockaddr*>(&storage), length);
   bool failed = result != 0 && errno != EINPROGRESS;
   std::shared_ptr<FrameConnection> connection(
@@ -75,11 +75,12 @@
   setsockopt(this->fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
   this->watching_output = this->connecting;
   uint32_t events = EPOLLIN | (this->connecting ? EPOLLOUT : 0u);
-  this->loop->Watch(this->fd, events, [this](uint32_t ready) { this->HandleEvents(ready); });
+  this->loop->Watch(this->fd, events,
+                    [this](uint32_t ready_events) { this->HandleEvents(ready_events); });
 }
 
 void FrameConnection::HandleEvents(uint32_t events) {
-  std::shared_ptr<FrameConnection> keep = this->self;
+  std::shared_ptr<FrameConnection> keep_alive = this->self;
   if (this->connecting) {
     if (events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) this->FinishConnecting();
     return;
@@ -107,7 +108,7 @@
     ssize_t count = recv(this->fd, buffer, kReadBytes, 0);
     if (count > 0) this->input.append(buffer, static_cast<size_t>(count));
     if (count == 0) {
-      this->Close(absl::UnavailableError("closed by the peer"));
+      this->Close(absl::UnavailableError("the peer closed the connection"));
       return;
     }
     if (count < 0) {
@@ -126,11 +127,11 @@
   while (this->fd >= 0 && this->input.size() - start >= kFrameHeaderBytes) {
     uint32_t length = ReadLength(this->input.data() + start);
     if (length > kMaxFrameBytes) {
-      this->Close(absl::InvalidArgumentError("frame too long"));
+      this->Close(absl::InvalidArgumentError("frame exceeds the maximum length"));
       return false;
     }
     if (this->input.size() - start < kFrameHeaderBytes + length) break;
-    // FlatBuffers wants its buffer aligned, so each frame is given its own.
+    // FlatBuffers requires an aligned buffer, so each frame is copied to one of its own.
     std::string frame = this->input.substr(start + kFrameHeaderBytes, length);
     start += kFrameHeaderBytes + length;
     absl::StatusOr<Message> message = DecodeMessage(frame);
@@ -149,9 +150,11 @@
   if (this->fd < 0) return;
   this->output += EncodeFrame(message);
   if (this->queued_bytes() > kMaxQueuedBytes) {
-    // Closing inside Send would surprise a caller in the middle of a loop.
-    this->loop->Post([keep = this->shared_from_this()] {
-      keep->Close(absl::ResourceExhaustedError("the peer does not read"));
+    // Closed from a posted task, because a caller of Send need not expect the connection to
+    // be closed within the call, for example in a loop over connections.
+    this->loop->Post([keep_alive = this->shared_from_this()] {
+      keep_alive->Close(absl::ResourceExhaustedError(
+          "the peer reads too slowly: too many bytes wait to be sent"));
     });
     return;
   }
@@ -163,7 +166,7 @@
     ssize_t count =
         send(this->fd, this->output.data() + this->output_sent, this->queued_bytes(), MSG_NOSIGNAL);
     if (count < 0) {
-      // A broken connection shows up as readable and is closed there.
+      // A broken connection becomes readable and is closed by ReadAll.
       if (errno == EINTR) continue;
       break;
     }
@@ -190,18 +193,18 @@
 
 void FrameConnection::Close(const absl::Status& reason) {
   if (this->fd < 0) return;
-  std::shared_ptr<FrameConnection> keep = std::move(this->self);
+  std::shared_ptr<FrameConnection> keep_alive = std::move(this->self);
   this->loop->Unwatch(this->fd);
   close(this->fd);
   this->fd = -1;
   this->output.clear();
   this->output_sent = 0;
-  Hooks last = std::move(this->hooks);
+  Hooks last_hooks = std::move(this->hooks);
   this->hooks = Hooks{};
-  if (last.closed) last.closed(this, reason);
-  // Close may have been called from inside one of the hooks, which must outlive
-  // its own call: the loop drops them later.
-  this->loop->Post([last, keep] {});
+  if (last_hooks.closed) last_hooks.closed(this, reason);
+  // Close may have been called from one of the hooks, and a hook must not be destroyed while
+  // it runs.  The posted task keeps the hooks and the connection until then.
+  this->loop->Post([last_hooks, keep_alive] {});
 }
 
 }  // namespace gullward
--- a/src/transport/frame_connection.h
+++ b/src/transport/frame_connection.h
@@ -1,15 +1,15 @@
 // A TCP connection that carries frames: four bytes of length, then FlatBuffers.
 //
-// Whatever a peer sends, harm stays on its own connection: a frame that is too
-// long, fails verification or is of an unknown kind closes the connection and
-// is counted, and nothing else.  What waits to be written is bounded; a peer
-// that does not read until the bound is passed is closed too.
+// Invalid input affects only the connection on which it arrives: a frame that is too long,
+// fails verification or holds a message of an unknown kind closes this connection.  The bytes
+// that wait to be written are limited; the connection is also closed if the peer reads so
+// slowly that the limit is exceeded.
 //
 //   auto connection = FrameConnection::Connect(&loop, address, hooks);
 //   connection->Send(Hello{...});
 //
-// The connection keeps itself alive until it is closed; after its `closed` hook
-// has run it calls nothing again.  All members are for the loop's thread.
+// The connection holds a reference to itself until it is closed.  No hook is called after
+// `closed`.  All members are for the loop's thread only.
 
 #ifndef GULLWARD_TRANSPORT_FRAME_CONNECTION_H_
 #define GULLWARD_TRANSPORT_FRAME_CONNECTION_H_
@@ -25,42 +25,44 @@
 
 namespace gullward {
 
-// Bytes that may wait to be written on one connection: two of the longest
-// frames and some room.
+// Maximum number of bytes that may wait to be written on one connection: two frames of the
+// maximum length and a margin.
 inline constexpr size_t kMaxQueuedBytes = 64u << 20;
 
 class FrameConnection : public std::enable_shared_from_this<FrameConnection> {
  public:
   struct Hooks {
-    // Runs once the connection stands (also for accepted ones).
+    // Called once the connection is established; for an accepted connection, within Adopt.
     std::function<void(FrameConnection*)> opened;
-    // Runs for each verified message.
+    // Called for each message that passed verification.
     std::function<void(FrameConnection*, Message)> received;
-    // Runs once, with the reason.  kBadFrame's count is the receiver's to keep.
+    // Called once, with the reason.  InvalidArgument means that a frame was rejected
+    // (ResultCode::kBadFrame); rejected frames are counted by the owner of the hook.
     std::function<void(FrameConnection*, const absl::Status&)> closed;
   };
 
-  // Starts to connect.  Failure to connect comes through the closed hook.
+  // Starts to connect.  A failure to connect is reported through the closed hook, after this
+  // function has returned.
   static std::shared_ptr<FrameConnection> Connect(EventLoop* loop, const SocketAddress& address,
                                                   Hooks hooks);
 
-  // Takes over an accepted socket.
+  // Takes ownership of an accepted socket.
   static std::shared_ptr<FrameConnection> Adopt(EventLoop* loop, int fd, Hooks hooks);
 
   ~FrameConnection();
   FrameConnection(const FrameConnection&) = delete;
   FrameConnection& operator=(const FrameConnection&) = delete;
 
-  // Queues a message.  On a closed connection it does nothing.
+  // Queues a message.  Does nothing if the connection is closed.
   void Send(const Message& message);
 
-  // Closes now; the closed hook runs before this returns.
+  // Closes the connection; the closed hook runs before this function returns.
   void Close(const absl::Status& reason);
 
-  // Bytes that wait to be written.
+  // Number of bytes that wait to be written.
   size_t queued_bytes() const { return this->output.size() - this->output_sent; }
 
-  // Bytes sent and received since the connection was made.
+  // Number of bytes sent and received since the connection was created.
   uint64_t bytes_sent() const { return this->sent_total; }
   uint64_t bytes_received() const { return this->received_total; }
 
--- a/src/transport/frame_server.cc
+++ b/src/transport/frame_server.cc
@@ -1,4 +1,4 @@
-// The listener accepts; each connection takes its own copy of the hooks.
+// Passes each socket that the listener accepts to FrameConnection::Adopt.
 
 #include "transport/frame_server.h"
 
--- a/src/transport/frame_server.h
+++ b/src/transport/frame_server.h
@@ -1,4 +1,4 @@
-// Listens for peers and gives each accepted connection its hooks.
+// Listens for peers and creates a FrameConnection for each accepted connection.
 //
 //   FrameServer server(&loop);
 //   absl::Status status = server.Listen(address, hooks);
@@ -21,10 +21,11 @@
   FrameServer(const FrameServer&) = delete;
   FrameServer& operator=(const FrameServer&) = delete;
 
-  // Starts to listen; every accepted connection gets a copy of `hooks`.
+  // Starts to listen.  Every accepted connection gets a copy of `hooks`.  Returns an error if
+  // the address cannot be bound.
   absl::Status Listen(const SocketAddress& address, const FrameConnection::Hooks& hooks);
 
-  // The port listened on; the kernel's choice where the address had port 0.
+  // The port on which the server listens; if the address has port 0, the kernel chooses it.
   uint16_t port() const { return this->listener.port(); }
 
  private:
--- a/src/transport/socket_address.cc
+++ b/src/transport/socket_address.cc
@@ -1,4 +1,4 @@
-// Parsing and the two system calls behind socket_address.h.
+// Parses addresses and wraps the system calls that take them.
 
 #include "transport/socket_address.h"
 
@@ -15,7 +15,7 @@
 namespace gullward {
 namespace {
 
-absl::Status Malformed(const std::string& text) {
+absl::Status MalformedError(const std::string& text) {
   return absl::InvalidArgumentError("expected IP:PORT, got \"" + text + "\"");
 }
 
@@ -30,7 +30,7 @@
 
 absl::StatusOr<SocketAddress> SocketAddress::Parse(const std::string& text) {
   size_t colon = text.rfind(':');
-  if (colon == std::string::npos) return Malformed(text);
+  if (colon == std::string::npos) return MalformedError(text);
   std::string host = text.substr(0, colon);
   if (host.size() >= 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
@@ -38,15 +38,15 @@
   uint16_t port = 0;
   const char* begin = text.data() + colon + 1;
   const char* end = text.data() + text.size();
-  auto [stopped, error] = std::from_chars(begin, end, port);
-  if (error != std::errc() || stopped != end) return Malformed(text);
-  if (!IsIpNumber(host)) return Malformed(text);
+  auto [parsed_end, error] = std::from_chars(begin, end, port);
+  if (error != std::errc() || parsed_end != end) return MalformedError(text);
+  if (!IsIpNumber(host)) return MalformedError(text);
   return SocketAddress{host, port};
 }
 
 std::string SocketAddress::ToString() const {
-  std::string shown = IsIpv6(this->host) ? "[" + this->host + "]" : this->host;
-  return shown + ":" + std::to_string(this->port);
+  std::string host_text = IsIpv6(this->host) ? "[" + this->host + "]" : this->host;
+  return host_text + ":" + std::to_string(this->port);
 }
 
 socklen_t SocketAddress::Fill(sockaddr_storage* storage) const {
--- a/src/transport/socket_address.h
+++ b/src/transport/socket_address.h
@@ -1,9 +1,9 @@
-// IP addresses with ports, as settings and box lists write them.
+// IP addresses with ports, in the form in which they stand in settings and box lists.
 //
 //   absl::StatusOr<SocketAddress> address = SocketAddress::Parse("127.0.0.1:8080");
 //
-// Names are not looked up: boxes are reached by IP number.  An IPv6 number
-// stands in brackets.  Port 0 asks the kernel for a free port when listening.
+// Host names are not resolved: boxes are addressed by IP number.  An IPv6 number stands in
+// brackets.  When listening, port 0 asks the kernel for a free port.
 
 #ifndef GULLWARD_TRANSPORT_SOCKET_ADDRESS_H_
 #define GULLWARD_TRANSPORT_SOCKET_ADDRESS_H_
@@ -22,19 +22,22 @@
 
   auto operator<=>(const SocketAddress&) const = default;
 
-  // Reads "IP:PORT".  InvalidArgument says what is wrong with it.
+  // Parses "IP:PORT".  Returns InvalidArgument with the text if it is malformed.
   static absl::StatusOr<SocketAddress> Parse(const std::string& text);
 
+  // "IP:PORT", with an IPv6 number in brackets.
   std::string ToString() const;
 
-  // Fills a socket address structure; the address must have come from Parse.
+  // Fills a socket address structure and returns its length.  The address must have been
+  // returned by Parse, since the IP number is not checked again.
   socklen_t Fill(sockaddr_storage* storage) const;
 };
 
-// A listening TCP socket, non-blocking, or the system's error.
+// Returns a non-blocking listening TCP socket, which the caller must close, or the system's
+// error.
 absl::StatusOr<int> ListenTcp(const SocketAddress& address);
 
-// The port that a listening socket was given.
+// The local port of a bound socket.
 uint16_t LocalPort(int fd);
 
 }  // namespace gullward
--- a/src/transport/tcp_listener.cc
+++ b/src/transport/tcp_listener.cc
@@ -1,4 +1,4 @@
-// Accepts until the kernel has no more, so that a burst costs one wake-up.
+// Accepts until no connection is pending, so that a burst of connections costs one wake-up.
 
 #include "transport/tcp_listener.h"
 
--- a/src/transport/tcp_listener.h
+++ b/src/transport/tcp_listener.h
@@ -1,4 +1,4 @@
-// A listening socket whose connections are handed to a hook.
+// A listening TCP socket that passes each accepted connection to a hook.
 
 #ifndef GULLWARD_TRANSPORT_TCP_LISTENER_H_
 #define GULLWARD_TRANSPORT_TCP_LISTENER_H_
@@ -18,13 +18,15 @@
   TcpListener(const TcpListener&) = delete;
   TcpListener& operator=(const TcpListener&) = delete;
 
-  // Calls `accepted` with each new non-blocking socket, which it then owns.
+  // Starts to listen.  `accepted` is called with each accepted non-blocking socket and takes
+  // ownership of it.  Returns an error if the address cannot be bound.
   absl::Status Listen(EventLoop* event_loop, const SocketAddress& address,
                       std::function<void(int fd)> accepted);
 
-  // Takes no more connections; safe to call again.
+  // Stops accepting connections.  May be called more than once.
   void Close();
 
+  // The port on which the socket listens.
   uint16_t port() const;
 
  private:
--- a/src/transport/tcp_stream.cc
+++ b/src/transport/tcp_stream.cc
@@ -1,4 +1,4 @@
-// Level-triggered epoll, one read an event, one send a write.
+// Level-triggered epoll, with one recv per event and one send per write.
 
 #include "transport/tcp_stream.h"
 
@@ -14,15 +14,15 @@
 namespace gullward {
 namespace {
 
-// A peer that acknowledges nothing for so long is taken for cut off.  Under the
-// two seconds after which callers give up a silent stream.
+// A connection whose peer acknowledges nothing for this time is closed as broken.  Must be
+// less than the two seconds after which callers abandon a silent stream.
 constexpr int kUserTimeoutMillis = 1500;
-// Probes on a connection where nothing moves, in the kernel's whole seconds: a
-// peer without power shows within two of them.
+// Keep-alive probes on an idle connection, in whole seconds, the unit of the socket options.
+// A peer that has lost power is detected within two seconds.
 constexpr int kProbeAfterSeconds = 1;
 constexpr int kProbeEverySeconds = 1;
 constexpr int kProbesUnanswered = 1;
-// How long a finished connection waits for the peer to close.
+// How long FinishAndClose waits for the peer to close.
 constexpr Duration kFinishWait = seconds(2);
 constexpr size_t kReadBytes = 64 << 10;
 
@@ -37,7 +37,7 @@
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &kProbesUnanswered, sizeof(kProbesUnanswered));
 }
 
-// How a connection ended that never stood, by the system's error.
+// How an attempt to connect ended, by its errno.
 StreamEnd EndOf(int error) {
   return error == ECONNREFUSED ? StreamEnd::kRefused : StreamEnd::kNotConnected;
 }
@@ -54,10 +54,10 @@
   sockaddr_storage storage;
   socklen_t length = address.Fill(&storage);
   int fd = socket(storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  bool begun = fd >= 0 && (connect(fd, reinterpret_cast<sockaddr*>(&storage), length) == 0 ||
-                           errno == EINPROGRESS);
+  bool is_started = fd >= 0 && (connect(fd, reinterpret_cast<sockaddr*>(&storage), length) == 0 ||
+                                errno == EINPROGRESS);
   std::shared_ptr<TcpStream> stream(new TcpStream(loop, fd, State::kConnecting));
-  if (begun) {
+  if (is_started) {
     stream->Start();
   } else {
     StreamEnd end = fd >= 0 ? EndOf(errno) : StreamEnd::kNotConnected;
@@ -78,7 +78,7 @@
 }
 
 void TcpStream::OnEvents(uint32_t events) {
-  std::shared_ptr<TcpStream> keep = this->shared_from_this();
+  std::shared_ptr<TcpStream> self = this->shared_from_this();
   if (this->state == State::kConnecting) {
     this->OnConnected();
     return;
@@ -108,7 +108,7 @@
   if (send_now) {
     ssize_t sent = send(this->fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent == static_cast<ssize_t>(bytes.size())) return;
-    // A broken connection shows in the next read; nobody is called back here.
+    // If the connection is broken, the next read reports it: no hook runs within Write.
     if (sent > 0) bytes.remove_prefix(static_cast<size_t>(sent));
   }
   this->unsent.append(bytes);
@@ -132,22 +132,22 @@
 
 void TcpStream::ReadSome() {
   static char buffer[kReadBytes];
-  ssize_t got = recv(this->fd, buffer, sizeof(buffer), 0);
-  if (got > 0) {
+  ssize_t count = recv(this->fd, buffer, sizeof(buffer), 0);
+  if (count > 0) {
     bool wanted = this->state == State::kOpen && this->hooks.data;
-    if (wanted) this->hooks.data(std::string_view(buffer, static_cast<size_t>(got)));
+    if (wanted) this->hooks.data(std::string_view(buffer, static_cast<size_t>(count)));
     return;
   }
-  if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  this->End(got == 0 ? StreamEnd::kFinished : StreamEnd::kBroken);
+  if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
+  this->End(count == 0 ? StreamEnd::kFinished : StreamEnd::kBroken);
 }
 
 bool TcpStream::HasPeerClosed() const {
   if (this->state != State::kOpen) return true;
   char next = 0;
-  ssize_t got = recv(this->fd, &next, sizeof(next), MSG_PEEK | MSG_DONTWAIT);
-  bool nothing_yet = got < 0 && (errno == EAGAIN || errno == EINTR);
-  return got <= 0 && !nothing_yet;
+  ssize_t count = recv(this->fd, &next, sizeof(next), MSG_PEEK | MSG_DONTWAIT);
+  bool nothing_yet = count < 0 && (errno == EAGAIN || errno == EINTR);
+  return count <= 0 && !nothing_yet;
 }
 
 void TcpStream::SetReading(bool wanted) {
@@ -198,12 +198,12 @@
 
 void TcpStream::End(StreamEnd end) {
   if (this->state == State::kClosed) return;
-  bool owner_is_done = this->state == State::kFinishing;
+  bool is_finishing = this->state == State::kFinishing;
   this->Close();
-  // Moved out, since the hook may drop the last reference to this stream.
-  Hooks last = std::move(this->hooks);
+  // Moved out first, because the hook may release the last reference to this stream.
+  Hooks last_hooks = std::move(this->hooks);
   this->hooks = {};
-  if (!owner_is_done && last.closed) last.closed(end);
+  if (!is_finishing && last_hooks.closed) last_hooks.closed(end);
 }
 
 }  // namespace gullward
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -1,14 +1,14 @@
-// One TCP connection on the event loop: bytes in by a hook, bytes out by Write.
+// A TCP connection on the event loop that reads and writes plain bytes.
 //
 //   auto stream = TcpStream::Connect(&loop, address);
 //   stream->SetHooks({.data = ..., .closed = ...});
-//   stream->Write("...");                 // before it stands too: kept till then
+//   stream->Write("...");                 // buffered until the connection is established
 //
-// A stream is held by a shared pointer; it stays alive while its own hooks run.
-// After Close no hook is called any more.  Writes go out at once where the
-// kernel takes them, so that an event that is passed on costs one system call;
-// the rest is kept, and pending() tells how much, so that the owner can stop
-// reading from whoever produces it.
+// A stream is held by a shared pointer and stays alive while its own hooks run.  No hook is
+// called after Close.  Write passes the bytes to the kernel at once, so that forwarding an
+// event costs one system call, and buffers the bytes that the kernel does not accept.
+// pending() is the size of this buffer, by which the owner can apply back-pressure to the
+// source of the bytes.
 
 #ifndef GULLWARD_TRANSPORT_TCP_STREAM_H_
 #define GULLWARD_TRANSPORT_TCP_STREAM_H_
@@ -26,65 +26,70 @@
 
 // How a connection ended.
 enum class StreamEnd {
-  // The peer closed in good order.
+  // The peer closed the connection without an error.
   kFinished,
-  // Reset, timed out or unreachable.
+  // The connection was reset, timed out or became unreachable.
   kBroken,
-  // It never stood: the peer saw nothing.
+  // The connection was never established, so the peer received nothing.
   kNotConnected,
-  // It never stood: the peer's box answers, and nobody listens there.
+  // The connection was never established: the peer's box refused it (ECONNREFUSED), because
+  // no process listens on the port.
   kRefused,
 };
 
 class TcpStream : public std::enable_shared_from_this<TcpStream> {
  public:
   struct Hooks {
-    // Bytes as they come; they hold only during the call.
+    // Called with received bytes, which are valid only during the call.
     std::function<void(std::string_view)> data;
-    // The connection has ended.
+    // Called once when the connection has ended, but not after Close, Reset or
+    // FinishAndClose.
     std::function<void(StreamEnd)> closed;
-    // Everything written has gone to the kernel.
+    // Called when the kernel has accepted all bytes that were buffered.
     std::function<void()> drained;
-    // A connection that we began stands.
+    // Called when an outgoing connection is established.
     std::function<void()> connected;
   };
 
-  // Takes over an accepted socket.
+  // Takes ownership of an accepted socket.
   static std::shared_ptr<TcpStream> Adopt(EventLoop* loop, int fd);
 
-  // Begins to connect.  A failure comes through the closed hook, also where the
-  // system refuses at once.
+  // Starts to connect.  A failure, including an immediate one, is reported through the closed
+  // hook, after this function has returned.
   static std::shared_ptr<TcpStream> Connect(EventLoop* loop, const SocketAddress& address);
 
   ~TcpStream();
 
   void SetHooks(Hooks new_hooks) { this->hooks = std::move(new_hooks); }
 
-  // Sends the bytes, or keeps what the kernel does not take.
+  // Sends the bytes, and buffers those that the kernel does not accept.
   void Write(std::string_view bytes);
 
-  // Whether a connection that we began does not stand yet: then nothing has been sent.
+  // Whether an outgoing connection is not established yet; nothing has been sent then.
   bool is_connecting() const { return this->state == State::kConnecting; }
 
-  // Bytes written that the kernel has not taken yet.
+  // Number of written bytes that the kernel has not accepted yet.
   size_t pending() const { return this->unsent.size(); }
 
-  // Whether the peer has ended the connection and nothing of it is left to read: its end
-  // may lie in the kernel for long before it is read, where this process stood still.
+  // Whether the peer has closed or reset the connection and no received bytes are left to
+  // read, or the stream is not open.  This asks the kernel, because the end of the connection
+  // may have arrived long before the loop reads it if this process was suspended.
   bool HasPeerClosed() const;
 
-  // Stops and resumes reading; the kernel then holds the peer up.
+  // Pauses (false) or resumes (true) reading.  While reading is paused, TCP flow control
+  // stops the peer from sending.
   void SetReading(bool wanted);
 
-  // Sends what is pending, tells the peer that nothing more comes and reads
-  // until the peer closes too: a close with unread bytes would reset the
-  // connection and could lose the answer on its way.
+  // Sends the pending bytes, shuts down the sending side, and discards received bytes until
+  // the peer closes too, for at most two seconds.  Closing a socket with unread bytes would
+  // reset the connection, and the peer could lose an answer that is still in transit.
   void FinishAndClose();
 
-  // Closes at once; what is pending is lost.
+  // Closes at once; pending bytes are lost.
   void Close();
 
-  // Closes so that the peer sees a reset, never a good end.
+  // Closes with a reset, so that the peer does not take the end of the connection for the
+  // regular end of an answer.
   void Reset();
 
  private:
--- a/src/transport/udp_socket.cc
+++ b/src/transport/udp_socket.cc
@@ -1,4 +1,4 @@
-// Receives until the kernel has no more, so that a burst costs one wake-up.
+// Receives until no datagram is pending, so that a burst of datagrams costs one wake-up.
 
 #include "transport/udp_socket.h"
 
@@ -46,9 +46,9 @@
 void UdpSocket::ReceiveAll() {
   char buffer[kMaxBytes];
   while (true) {
-    ssize_t got = recv(this->fd, buffer, sizeof(buffer), 0);
-    if (got < 0) return;
-    this->on_received(std::string_view(buffer, static_cast<size_t>(got)));
+    ssize_t count = recv(this->fd, buffer, sizeof(buffer), 0);
+    if (count < 0) return;
+    this->on_received(std::string_view(buffer, static_cast<size_t>(count)));
   }
 }
 
--- a/src/transport/udp_socket.h
+++ b/src/transport/udp_socket.h
@@ -1,4 +1,4 @@
-// A bound datagram socket on the event loop.
+// A bound UDP socket on the event loop.
 //
 //   UdpSocket socket;
 //   absl::Status status = socket.Bind(&loop, address, [](std::string_view datagram) { ... });
@@ -18,7 +18,8 @@
 
 class UdpSocket {
  public:
-  // Longer datagrams would be cut up on their way.
+  // Maximum size of a datagram.  Longer datagrams would be fragmented by the network, and are
+  // truncated when they are received.
   static constexpr size_t kMaxBytes = 1400;
 
   UdpSocket() = default;
@@ -26,14 +27,16 @@
   UdpSocket(const UdpSocket&) = delete;
   UdpSocket& operator=(const UdpSocket&) = delete;
 
-  // Begins to hand datagrams to `received`.  Port 0 leaves the choice to the kernel.
+  // Binds the socket and calls `received` with each datagram; the bytes are valid only
+  // during the call.  If the address has port 0, the kernel chooses the port.  Returns an
+  // error if the address cannot be bound.
   absl::Status Bind(EventLoop* event_loop, const SocketAddress& address,
                     std::function<void(std::string_view datagram)> received);
 
-  // The port that it is bound to.
+  // The port to which the socket is bound.
   uint16_t port() const;
 
-  // Sends or drops: datagrams promise nothing.
+  // Sends a datagram.  Errors are ignored, since delivery is not guaranteed anyway.
   void Send(const SocketAddress& to, std::string_view datagram);
 
  private:
