--- a/src/process/admin_server.cc
+++ b/src/process/admin_server.cc
@@ -1,4 +1,4 @@
-// admin_server.h lists the paths.
+// Requests are read on the HTTP server's threads and answered on the loop's thread.
 
 #include "process/admin_server.h"
 
@@ -28,8 +28,8 @@
 
 void AdminServer::Handle(const std::shared_ptr<HttpExchange>& exchange) {
   const std::string& path = exchange->path;
-  bool drain = path == "/drain";
-  if (exchange->method != (drain ? "POST" : "GET")) {
+  bool is_drain = path == "/drain";
+  if (exchange->method != (is_drain ? "POST" : "GET")) {
     exchange->Respond({405, kText, {}, "method not allowed\n"});
   } else if (path == "/healthz") {
     exchange->Respond({200, kText, {}, "ok\n"});
@@ -40,7 +40,7 @@
     exchange->Respond({200, kMetricsText, {}, this->hooks.metrics()});
   } else if (path == "/state") {
     exchange->Respond({200, kJson, {}, this->hooks.state()});
-  } else if (drain) {
+  } else if (is_drain) {
     this->hooks.drain();
     exchange->Respond({202, kText, {}, "draining\n"});
   } else {
--- a/src/process/event_log.cc
+++ b/src/process/event_log.cc
@@ -1,5 +1,5 @@
-// Text is escaped by nlohmann-json; the rest is plain appending, since a line a
-// request must not cost more than the request.
+// nlohmann-json escapes the texts.  The rest of a line is appended as strings, because
+// writing a line for a request must not cost more than the request itself.
 
 #include "process/event_log.h"
 
@@ -17,7 +17,7 @@
 LogLine::LogLine(std::string_view event) { this->Text("event", event); }
 
 LogLine& LogLine::Text(std::string_view field, std::string_view value) {
-  // Bytes that are not UTF-8 are replaced; a log line must never throw.
+  // Bytes that are not UTF-8 are replaced, because dump() would throw an exception.
   std::string quoted =
       nlohmann::json(value).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   absl::StrAppend(&this->text, ",\"", AbslView(field), "\":", quoted);
@@ -40,14 +40,14 @@
 }
 
 void EventLog::Write(const LogLine& line) {
-  if (this->waiting.size() + line.fields().size() > kMostWaiting) {
+  if (this->waiting.size() + line.fields().size() > kMaxWaitingBytes) {
     this->dropped_lines += 1;
-    this->dropped_untold += 1;
+    this->dropped_unreported += 1;
     return;
   }
-  if (this->dropped_untold > 0) {
-    double count = static_cast<double>(this->dropped_untold);
-    this->dropped_untold = 0;
+  if (this->dropped_unreported > 0) {
+    double count = static_cast<double>(this->dropped_unreported);
+    this->dropped_unreported = 0;
     this->Append(LogLine("log_lines_dropped").Number("lines", count));
   }
   this->Append(line);
--- a/src/process/event_log.h
+++ b/src/process/event_log.h
@@ -1,13 +1,14 @@
-// Structured logs: one JSON object a line on standard output.
+// Structured log: one JSON object per line, normally on standard output.
 //
-//   EventLog log(&std_out);
+//   EventLog log(STDOUT_FILENO);
 //   log.Write(LogLine("refused").Text("request", id).Number("code", 2004));
-//   log.Flush();                       // now and then, from the event loop
+//   log.Flush();                       // periodically, from the event loop
 //
-// A line is written for each decision that touches a request or changes what the
-// process believes.  Writing never blocks: lines wait in a bounded buffer, and
-// what does not fit is dropped, counted and said in the next line that fits.
-// What went well is sampled by its writer (Sample), what failed never is.
+// A line is written for each decision that concerns a request or changes the state of the
+// process.  Write never blocks: lines wait in a buffer of limited size.  Lines that do not
+// fit are dropped, and the next line that fits is preceded by a line log_lines_dropped with
+// their number.  Code that logs successes writes only a sample of them (Sample); failures
+// are always written.
 
 #ifndef GULLWARD_PROCESS_EVENT_LOG_H_
 #define GULLWARD_PROCESS_EVENT_LOG_H_
@@ -20,14 +21,17 @@
 
 namespace gullward {
 
-// One line under construction.
+// One line under construction, with the keys and values of its JSON object.
 class LogLine {
  public:
+  // Starts a line with the key "event".
   explicit LogLine(std::string_view event);
 
+  // Add a key with a text or a number.  Bytes of a text that are not UTF-8 are replaced.
   LogLine& Text(std::string_view field, std::string_view value);
   LogLine& Number(std::string_view field, double value);
 
+  // The fields so far as JSON, each with a comma before it.
   const std::string& fields() const { return this->text; }
 
  private:
@@ -36,22 +40,24 @@
 
 class EventLog {
  public:
-  // Most bytes that wait for a reader that is slow or has stopped.
-  static constexpr size_t kMostWaiting = 256 << 10;
-  // One in so many lines on what went well is written.
+  // Maximum number of bytes that wait because the reader of the log is slow or has stopped.
+  static constexpr size_t kMaxWaitingBytes = 256 << 10;
+  // One of this many lines about successes is written.
   static constexpr uint32_t kSampleEvery = 16;
 
-  // Writes to the file descriptor, which is made non-blocking.
+  // Logs to the file descriptor, which is switched to non-blocking mode and is not closed.
   explicit EventLog(int output_fd);
 
+  // Adds a line to the buffer, with the time "at" in seconds since the machine's boot.
   void Write(const LogLine& line);
 
-  // Writes as much as the reader takes.
+  // Writes as many bytes of the buffer as the file descriptor accepts.
   void Flush();
 
-  // Whether the next line on something that went well is to be written.
+  // Whether the next line about a success is to be written.  Counts the calls.
   bool Sample() { return this->sampled++ % kSampleEvery == 0; }
 
+  // Number of lines dropped so far.
   uint64_t dropped() const { return this->dropped_lines; }
 
  private:
@@ -61,7 +67,8 @@
   std::string waiting;
   uint32_t sampled = 0;
   uint64_t dropped_lines = 0;
-  uint64_t dropped_untold = 0;
+  // Dropped lines that no log_lines_dropped line has reported yet.
+  uint64_t dropped_unreported = 0;
 };
 
 }  // namespace gullward
--- a/src/process/histogram.h
+++ b/src/process/histogram.h
@@ -1,4 +1,4 @@
-// How long things took, in buckets that a metrics page can show.
+// Histograms of durations for the metrics page.
 //
 //   LatencyHistogram first_event;
 //   first_event.Add(milliseconds(130));
@@ -13,11 +13,12 @@
 
 namespace gullward {
 
-// Counts of durations, for one label of a metric.
+// Counts durations in buckets, for one combination of labels of a metric.
 class LatencyHistogram {
  public:
-  // Upper bounds in seconds; they hold the objectives of both users' sheets (0.12,
-  // 0.3, 1.5, 3 and 4 s, pauses 0.2, 0.5 and 0.8 s) and end at their deadlines.
+  // Upper bounds of the buckets in seconds.  They include the latency objectives of both
+  // users (0.12, 0.3, 1.5, 3 and 4 s; for pauses 0.2, 0.5 and 0.8 s) and end at the users'
+  // deadlines.
   static constexpr std::array<double, 12> kBounds = {0.03, 0.06, 0.12, 0.2, 0.3, 0.5,
                                                      0.8,  1.5,  3,    4,   10,  15};
 
@@ -30,7 +31,7 @@
     this->total_seconds += value;
   }
 
-  // How many took at most kBounds[bucket].
+  // Number of durations of at most kBounds[bucket].
   uint64_t CumulativeCount(size_t bucket) const {
     uint64_t sum = 0;
     for (size_t i = 0; i <= bucket; ++i) sum += this->counts[i];
@@ -43,7 +44,7 @@
   bool operator==(const LatencyHistogram&) const = default;
 
  private:
-  // The last bucket holds what is over every bound.
+  // The last bucket counts the durations above every bound.
   std::array<uint64_t, kBounds.size() + 1> counts{};
   uint64_t total_count = 0;
   double total_seconds = 0;
--- a/src/process/metrics.cc
+++ b/src/process/metrics.cc
@@ -1,4 +1,4 @@
-// metrics.h tells what for.
+// Collects samples as prometheus-cpp's MetricFamily structs, one for each metric name.
 
 #include "process/metrics.h"
 
--- a/src/process/metrics.h
+++ b/src/process/metrics.h
@@ -1,7 +1,7 @@
-// Metrics in Prometheus's text format, by prometheus-cpp.
+// Formats metrics in Prometheus's text format, with prometheus-cpp.
 //
-// The decision cores keep plain counters; a process's shell copies them into a
-// registry when it is asked, so that the cores know nothing of metrics.
+// The decision cores keep plain counters and do not depend on a metrics library.  When the
+// metrics are requested, the process's shell copies the counters into a MetricsText.
 //
 //   MetricsText text;
 //   text.Counter("gullward_requests_total", "Requests admitted", {}, counters.admitted);
@@ -24,16 +24,18 @@
  public:
   using MetricLabels = std::map<std::string, std::string>;
 
-  // A number that only rises, and one that goes both ways.
+  // Add a sample of a counter, which only increases, or of a gauge, which may also decrease.
+  // Samples with the same name belong to one metric; `help` is taken from the first one.
   void Counter(const std::string& name, const std::string& help, const MetricLabels& labels,
                double value);
   void Gauge(const std::string& name, const std::string& help, const MetricLabels& labels,
              double value);
 
+  // Adds a sample of a histogram.
   void Histogram(const std::string& name, const std::string& help, const MetricLabels& labels,
                  const LatencyHistogram& histogram);
 
-  // The page.
+  // The metrics page with all samples added so far.
   std::string Serialize() const;
 
  private:
--- a/src/process/process.cc
+++ b/src/process/process.cc
@@ -1,4 +1,4 @@
-// process.h tells what for.
+// Uses gflags for flags, glog for logs, and signalfd to receive signals on the event loop.
 
 #include "process/process.h"
 
@@ -69,7 +69,8 @@
 
 namespace {
 
-// Has the signals of a set come to the loop instead of ending the process.
+// Blocks the signals of a set, which would otherwise end the process, and runs `hook` on the
+// loop for each of them.
 void WatchSignals(EventLoop* loop, const sigset_t& signals, std::function<void()> hook) {
   PCHECK(pthread_sigmask(SIG_BLOCK, &signals, nullptr) == 0);
   int fd = signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC);
@@ -105,7 +106,7 @@
 
 void WriteReadyFile(const std::string& json) {
   if (FLAGS_ready_file.empty()) return;
-  // Renamed into place, so that a reader never sees half of it.
+  // Written to a temporary file and renamed, so that no reader finds a partial file.
   std::string temporary = FLAGS_ready_file + ".tmp";
   std::ofstream(temporary) << json;
   PCHECK(std::rename(temporary.c_str(), FLAGS_ready_file.c_str()) == 0);
--- a/src/process/process.h
+++ b/src/process/process.h
@@ -1,13 +1,17 @@
-// What every gullward program does alike: flags, settings, logs, signals.
+// Flags, settings, logs and signals, which all gullward programs handle alike.
 //
 //   int main(int argc, char** argv) {
-//     ProcessMain process("gullward-entry", "serves callers", &argc, &argv);
-//     std::optional<toml::table> table = process.LoadSettings();
-//     ...
+//     InitProcess("gullward-entry --settings FILE: serves callers", &argc, &argv);
+//     std::vector<ConfigError> errors;
+//     std::string file;
+//     std::optional<toml::table> table = LoadSettings(&errors, &file);
+//     ...                          // read the keys of the table
+//     FinishSettings(errors);
+//     return RunServer<EntryServer>(settings);
 //   }
 //
-// Settings are checked as a whole before anything starts; every mistake is
-// printed with its file, line and key, and the program exits with status 2.
+// All settings are checked before anything starts.  Every error is printed with its file,
+// line and key, and the program exits with status 2.
 
 #ifndef GULLWARD_PROCESS_PROCESS_H_
 #define GULLWARD_PROCESS_PROCESS_H_
@@ -31,35 +35,41 @@
 // Reads flags and starts logging; exits on --help, --version and unknown flags.
 void InitProcess(const std::string& usage, int* argc, char*** argv);
 
-// The settings file named by --settings, parsed; the errors hold what is wrong.
+// Parses the settings file named by --settings and sets `file` to its path.  If the flag is
+// missing, or the file cannot be read or parsed, appends to `errors` and returns nothing.
 std::optional<toml::table> LoadSettings(std::vector<ConfigError>* errors, std::string* file);
 
-// Prints the errors and exits with kExitUsage if there are any.  With
-// --check_settings, says that the settings are fine and exits with 0.
+// If there are errors, prints them and exits with kExitUsage.  Otherwise, with
+// --check_settings, prints that the settings are valid and exits with 0.
 void FinishSettings(const std::vector<ConfigError>& errors);
 
-// Reads "IP:PORT" at a key.
+// Reads an address "IP:PORT" at a key; `fallback` is used if the key is missing.  Reports a
+// malformed address to `reader` and returns an empty address.
 SocketAddress ReadAddress(TomlReader& reader, const std::string& key,
                           const std::optional<std::string>& fallback);
 
-// Runs `stop` on the loop when SIGTERM or SIGINT comes.  Call it before any
-// thread is started: they inherit the blocked signals.
+// Runs `stop` on the loop when the process receives SIGTERM or SIGINT, and ignores SIGPIPE.
+// Must be called before any thread is started, because threads inherit the mask that blocks
+// these signals.
 void HandleStopSignals(EventLoop* loop, std::function<void()> stop);
 
-// Runs `reload` on the loop when SIGHUP comes.  Like HandleStopSignals, before
-// any thread is started.
+// Runs `reload` on the loop when the process receives SIGHUP.  Must be called before any
+// thread is started, like HandleStopSignals.
 void HandleReloadSignal(EventLoop* loop, std::function<void()> reload);
 
-// Runs a server until it stops: its constructor takes the loop, the settings and
-// an incarnation, and it has Start and DrainAndStop. Returns the exit status.
+// Runs a server until the loop is stopped and returns the exit status.  The server's
+// constructor takes the loop, the settings and an incarnation; Start starts it, and
+// DrainAndStop is called on SIGTERM or SIGINT.
 template <typename Server, typename Settings>
 int RunServer(const Settings& settings);
 
-// A number that no earlier process of this box has used, for incarnations.
+// A random 64-bit number, to identify this incarnation of the process: it differs from the
+// number of every earlier process with overwhelming probability.
 uint64_t RandomIncarnation();
 
-// Writes a JSON object of the addresses in use to --ready_file, if given, once
-// the process serves.  Tests find ports of the kernel's choice in it.
+// Writes `json`, the addresses on which the process listens, to the file named by
+// --ready_file, if the flag is set.  To be called once the process serves.  Tests read the
+// ports that the kernel chose from this file.
 void WriteReadyFile(const std::string& json);
 
 template <typename Server, typename Settings>
--- a/src/process/testing/event_log_test.cc
+++ b/src/process/testing/event_log_test.cc
@@ -1,4 +1,5 @@
-// Lines are records; a reader that stops holds nothing up.
+// Tests that every line is one JSON object, and that a reader that stops reading does not
+// block the process that writes the log.
 
 #define BOOST_TEST_MODULE event_log
 #include "process/event_log.h"
@@ -30,9 +31,9 @@
   std::string ReadAll() const {
     std::string all;
     char buffer[65536];
-    ssize_t got = 0;
-    while ((got = read(this->ends[0], buffer, sizeof(buffer))) > 0) {
-      all.append(buffer, static_cast<size_t>(got));
+    ssize_t count = 0;
+    while ((count = read(this->ends[0], buffer, sizeof(buffer))) > 0) {
+      all.append(buffer, static_cast<size_t>(count));
     }
     return all;
   }
@@ -58,10 +59,10 @@
   BOOST_TEST(records[1]["version"] == 104);
 }
 
-BOOST_AUTO_TEST_CASE(AStoppedReaderCostsLinesAndNothingElse) {
+BOOST_AUTO_TEST_CASE(AStoppedReaderDropsLinesButDoesNotBlock) {
   Pipe pipe;
   EventLog log(pipe.writing_end());
-  // Far more than the pipe and the buffer hold; every call returns.
+  // Far more bytes than the pipe and the buffer hold.  Every call must return.
   for (int i = 0; i < 20'000; ++i) {
     log.Write(LogLine("line").Text("filler", std::string(100, 'x')));
     log.Flush();
