--- a/src/base/absl_view.h
+++ b/src/base/absl_view.h
@@ -1,4 +1,5 @@
-// Debian's Abseil is built for C++14, where absl::string_view is a type of its own.
+// Conversions between std::string_view and absl::string_view.  They are different types,
+// because Debian's Abseil is built for C++14.
 
 #ifndef GULLWARD_BASE_ABSL_VIEW_H_
 #define GULLWARD_BASE_ABSL_VIEW_H_
@@ -9,10 +10,10 @@
 
 namespace gullward {
 
-// The same text for a call of Abseil.
+// Converts a text to pass it to Abseil.
 inline absl::string_view AbslView(std::string_view text) { return {text.data(), text.size()}; }
 
-// The same text from a call of Abseil.
+// Converts a text that Abseil returned.
 inline std::string_view StdView(absl::string_view text) { return {text.data(), text.size()}; }
 
 }  // namespace gullward
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,8 +1,8 @@
-// Time as every decision sees it.
+// The clock and the types of times and durations.
 //
-// No decision core reads a clock: each call that needs the time is given it,
-// so that a test or a trial can pass any time it likes and gets the same
-// answer on every run.  Only the shells (the programs' main loops) call Now().
+// No decision core reads a clock: the time is a parameter of each call that needs it, so
+// that tests and trials can pass any time and give the same results on every run.  Only
+// the shells (the programs' main loops) call Now().
 //
 //   Time now = Now();
 //   core.Tick(now, &actions);
@@ -18,9 +18,10 @@
 
 using Duration = std::chrono::microseconds;
 
-// The kernel's CLOCK_BOOTTIME: like the steady clock it never goes back, but it also counts
-// the time in which the machine was suspended.  Every age that a promise rests on must count
-// that: a key vouched for five seconds ago may have been taken away in a sleep of eight.
+// The kernel's CLOCK_BOOTTIME.  Like the steady clock it never goes back, but it also counts
+// the time during which the machine was suspended.  Guarantees that depend on the age of data
+// need this: an API key that was validated five seconds ago by the steady clock may have been
+// revoked during a suspension of eight seconds.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -47,8 +48,9 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// The duration nearest to a number of seconds.  Values beyond ten years are
-// cut to ten years, so that a wild estimate cannot overflow a deadline.
+// Converts a number of seconds, rounded towards zero to microseconds.  Values beyond ten
+// years in either direction, and NaN, are clamped to ten years, so that an extreme estimate
+// cannot overflow a deadline.
 inline Duration FromSeconds(double value) {
   constexpr double kTenYears = 10.0 * 365 * 86400;
   if (!(value < kTenYears)) value = kTenYears;
@@ -56,7 +58,7 @@
   return Duration(static_cast<int64_t>(value * 1e6));
 }
 
-// Whole milliseconds, rounded down; negative durations count as none.
+// Whole milliseconds, rounded down; 0 for negative durations.
 inline uint64_t ToMillis(Duration duration) {
   if (duration.count() <= 0) return 0;
   return static_cast<uint64_t>(duration.count() / 1000);
--- a/src/base/prefix_hash.h
+++ b/src/base/prefix_hash.h
@@ -1,10 +1,11 @@
-// Hashes of a prompt's prefixes, to find engines that hold one in their cache.
+// Hashes of a prompt's prefixes, to find engines that hold one of these prefixes in their
+// cache.
 //
-// An engine caches KV in blocks.  Hashing every block of a million-token prompt
-// gives thousands of hashes; most tell nothing new.  We hash the prefixes of
-// 1, 2, 4, 8, ... blocks only: at most 11 hashes for a million tokens, and the
-// longest one that matches understates the true match by less than half.  The
-// hash runs on from block to block, so the cost is one pass over the text.
+// An engine caches KV in blocks.  A hash for every block of a prompt of a million tokens
+// would give thousands of hashes, most of which add no information.  Only the prefixes of
+// 1, 2, 4, 8, ... blocks are hashed: 12 hashes for a text of 5 MB, which is about a million
+// tokens.  The longest prefix that matches is more than half as long as the true match.
+// Each hash is the seed of the next one, so the cost is one pass over the text.
 //
 //   for (const PrefixHash& prefix : PrefixHashes(prompt)) ...
 
@@ -20,9 +21,10 @@
 
 namespace gullward {
 
-// Bytes of text in the smallest prefix that is looked up.
+// Size of the shortest prefix that is hashed, in bytes of text.
 inline constexpr size_t kPrefixBlockBytes = 2048;
 
+// The hash of the first `bytes` bytes of a text.
 struct PrefixHash {
   uint64_t hash = 0;
   uint64_t bytes = 0;
@@ -30,7 +32,8 @@
   auto operator<=>(const PrefixHash&) const = default;
 };
 
-// The hashes of the text's prefixes of 1, 2, 4, ... blocks, shortest first.
+// The hashes of the text's prefixes of 1, 2, 4, ... blocks, shortest first.  Empty if the text
+// is shorter than one block.
 inline std::vector<PrefixHash> PrefixHashes(std::string_view text) {
   std::vector<PrefixHash> hashes;
   uint64_t hash = 0;
--- a/src/base/request_id.h
+++ b/src/base/request_id.h
@@ -1,11 +1,11 @@
-// Names of requests and of attempts at them.
+// Identifiers of requests and of attempts to run them.
 //
-// A request is named by the entry process that admitted it: the incarnation of
-// that process (a random number drawn at start) and a counter inside it.  No
-// two processes have to agree on anything to give out a name.  One request may
-// be tried several times; each try is an attempt, numbered from 1, and every
-// message about it carries both, so that a late answer of an earlier attempt
-// is known for what it is.
+// The identifier of a request consists of the incarnation of the entry process that
+// admitted it (a random number chosen when the process starts) and a counter within this
+// incarnation.  Processes can therefore assign identifiers without coordination.  A request
+// may be attempted several times.  Attempts are numbered from 1, and every message about an
+// attempt carries both identifiers, so that a late answer of an earlier attempt is
+// recognized.
 
 #ifndef GULLWARD_BASE_REQUEST_ID_H_
 #define GULLWARD_BASE_REQUEST_ID_H_
@@ -31,7 +31,7 @@
   auto operator<=>(const AttemptId&) const = default;
 };
 
-// "0123456789abcdef-42", as it stands in X-Request-Id and in the logs.
+// "0123456789abcdef-42", the form used in X-Request-Id and in logs.
 inline std::string ToString(const RequestId& id) {
   char text[48];
   std::snprintf(text, sizeof(text), "%016llx-%llu", static_cast<unsigned long long>(id.incarnation),
@@ -39,8 +39,8 @@
   return text;
 }
 
-// "0123456789abcdef-42.1": a request and the number of the attempt.  Engines
-// know their allocations by this name.
+// "0123456789abcdef-42.1": the request and the number of the attempt.  Engines use this
+// form as the name of an allocation.
 inline std::string ToString(const AttemptId& id) {
   return ToString(id.request) + "." + std::to_string(id.attempt);
 }
--- a/src/base/result_code.h
+++ b/src/base/result_code.h
@@ -1,11 +1,18 @@
-// The numbered result codes: one for each way a request, a setting or a
-// published configuration can fail.
+// The numbered result codes: one for each way in which a request, a setting or a published
+// configuration can fail.
+//
+// The first digit groups the codes by who has to act:
+//
+//   1xxx  the caller, who has to change the request
+//   2xxx  no one: the work was not run, and the caller may send the request again later
+//   3xxx  the caller, who has to check what was run before sending the request again
+//   4xxx  the operator
+//   5xxx  the developers of gullward
 //
-// The first digit says who has to act: 1 the caller, 2 nobody yet (the work was
-// not run; come back), 3 look at what ran, 4 the operator, 5 the developers.
 // docs/RESULT-CODES.md holds the same table; a test compares the two.
 //
-//   SendError(HttpStatus(code), Name(code), Describe(code));
+//   const ResultCodeInfo& info = Info(code);
+//   SendError(info.http_status, info.name, info.description);
 
 #ifndef GULLWARD_BASE_RESULT_CODE_H_
 #define GULLWARD_BASE_RESULT_CODE_H_
@@ -79,7 +86,7 @@
 struct ResultCodeInfo {
   ResultCode code;
   const char* name;
-  // HTTP status that a caller sees with this code; 0 where no caller sees it.
+  // HTTP status of an answer with this code; 0 if the code is never sent to a caller.
   int http_status;
   const char* description;
 };
@@ -87,7 +94,7 @@
 // All codes but kOk, in ascending order.
 const std::vector<ResultCodeInfo>& AllResultCodes();
 
-// The row of a code; codes that no row has give the row of kInternal.
+// The row of a code; the row of kInternal if the code has none.
 const ResultCodeInfo& Info(ResultCode code);
 
 }  // namespace gullward
--- a/src/base/testing/result_code_test.cc
+++ b/src/base/testing/result_code_test.cc
@@ -1,4 +1,5 @@
-// Holds the table of result codes and its page together.
+// Tests that docs/RESULT-CODES.md holds the same table as result_code.cc, that source files
+// named in the documentation exist, and the prefix hashes.
 
 #define BOOST_TEST_MODULE result_code
 #include "base/result_code.h"
@@ -15,7 +16,7 @@
 namespace gullward {
 namespace {
 
-BOOST_AUTO_TEST_CASE(PageHoldsTheSameTable) {
+BOOST_AUTO_TEST_CASE(DocumentationHoldsTheSameTable) {
   std::ifstream stream(std::string(GULLWARD_SOURCE_DIR) + "/docs/RESULT-CODES.md");
   std::ostringstream page;
   page << stream.rdbuf();
@@ -36,7 +37,7 @@
   BOOST_TEST(page_rows == rows);
 }
 
-// The pages name the mechanism that carries each line by its file.
+// The documentation refers to mechanisms by their source files, so these files must exist.
 BOOST_AUTO_TEST_CASE(FilesThatPagesNameExist) {
   const std::string root = std::string(GULLWARD_SOURCE_DIR) + "/";
   const std::regex named("`((?:src|docs|scripts)/[A-Za-z0-9_./-]+)`");
@@ -66,7 +67,7 @@
   BOOST_TEST((Info(static_cast<ResultCode>(77)).code == ResultCode::kInternal));
 }
 
-BOOST_AUTO_TEST_CASE(PrefixHashesAgreeWhereTextsDo) {
+BOOST_AUTO_TEST_CASE(PrefixHashesAreEqualForEqualPrefixes) {
   std::string one(3 * kPrefixBlockBytes, 'a');
   std::string other = one;
   other[kPrefixBlockBytes + 5] = 'b';
--- a/src/base/toml.h
+++ b/src/base/toml.h
@@ -1,5 +1,5 @@
-// The one place that includes toml++, so that every file sees it with the same
-// options: no exceptions, header only.
+// Includes toml++.  All files must include it through this header, so that they compile it
+// with the same options: no exceptions, header only.
 
 #ifndef GULLWARD_BASE_TOML_H_
 #define GULLWARD_BASE_TOML_H_
