--- a/src/capacity/main.cc
+++ b/src/capacity/main.cc
@@ -1,12 +1,12 @@
-// gullward-capacity: measures the slopes that docs/CAPACITY.md works from.
+// gullward-capacity: measures the costs per message, object, engine and request from which
+// docs/CAPACITY.md calculates the capacity.
 //
-// Every figure comes from the real cores and codecs at the size in question, on
-// one thread, with nothing else in between: bytes of a message as it travels,
-// processor time of handling it, memory of one more object of a kind (the heap's
-// own count of bytes in use). Each is taken kRounds times; the median is printed
-// with the least and the most.
+// Every figure is measured with the real cores and codecs at the size in question, on one
+// thread: the encoded size of a message, the processor time to handle it, and the memory of
+// one more object of a kind (from the heap's count of bytes in use, mallinfo2).  Each figure
+// except the sizes is measured kRounds times; the median, minimum and maximum are printed.
 //
-//   gullward-capacity            all figures, as the table of the page
+//   gullward-capacity            prints all figures as the table of docs/CAPACITY.md
 
 #include <malloc.h>
 #include <sys/resource.h>
@@ -33,7 +33,7 @@
 constexpr int kRounds = 5;
 constexpr Time kStart{std::chrono::seconds(1000)};
 
-// The target of letter 1.
+// The target size that the users named.
 constexpr int kAccounts = 35'000;
 constexpr int kModels = 25;
 constexpr int kChangesPerDay = 49'000;
@@ -50,26 +50,26 @@
 
 double HeapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-struct Spread {
+struct Measurement {
   double median;
-  double least;
-  double most;
+  double min;
+  double max;
 };
 
-Spread Repeat(const std::function<double()>& measure) {
+Measurement Repeat(const std::function<double()>& measure) {
   std::vector<double> values;
   for (int i = 0; i < kRounds; ++i) values.push_back(measure());
   std::sort(values.begin(), values.end());
   return {values[kRounds / 2], values.front(), values.back()};
 }
 
-void Print(const std::string& name, const std::string& unit, const Spread& spread) {
-  std::printf("| %s | %.3g %s | %.3g to %.3g |\n", name.c_str(), spread.median, unit.c_str(),
-              spread.least, spread.most);
+void Print(const std::string& name, const std::string& unit, const Measurement& measured) {
+  std::printf("| %s | %.3g %s | %.3g to %.3g |\n", name.c_str(), measured.median, unit.c_str(),
+              measured.min, measured.max);
 }
 
 // Microseconds of processor time of one call, averaged over `count` calls.
-Spread MicrosPerCall(int count, const std::function<void(int)>& call) {
+Measurement MicrosPerCall(int count, const std::function<void(int)>& call) {
   return Repeat([&] {
     double start = ProcessorSeconds();
     for (int i = 0; i < count; ++i) call(i);
@@ -77,19 +77,18 @@
   });
 }
 
-// Heap bytes that each of `count` things takes; `make` keeps them alive in what
-// it returns.
-Spread BytesPerThing(int count, const std::function<std::shared_ptr<void>()>& make) {
+// Heap bytes per item of the object that `make` returns, which must hold `count` items.
+Measurement BytesPerItem(int count, const std::function<std::shared_ptr<void>()>& make) {
   return Repeat([&] {
     double before = HeapBytes();
-    std::shared_ptr<void> kept = make();
+    std::shared_ptr<void> items = make();
     return (HeapBytes() - before) / count;
   });
 }
 
 // ------------------------------------------------------------------- messages
 
-EngineLoad LoadOf(uint32_t engine, size_t hints) {
+EngineLoad MakeLoad(uint32_t engine, size_t hints) {
   EngineLoad load;
   load.engine = engine;
   load.name = "engine-" + std::to_string(engine);
@@ -104,11 +103,11 @@
   return load;
 }
 
-EndpointHeartbeat ReportOf(size_t hints, size_t entries) {
+EndpointHeartbeat MakeReport(size_t hints, size_t entries) {
   EndpointHeartbeat report;
   report.incarnation = 77;
   report.config_offset = 1'000'000;
-  for (uint32_t i = 0; i < kEnginesPerEndpoint; ++i) report.engines.push_back(LoadOf(i, hints));
+  for (uint32_t i = 0; i < kEnginesPerEndpoint; ++i) report.engines.push_back(MakeLoad(i, hints));
   for (uint64_t i = 0; i < entries; ++i) report.included.push_back({i, i});
   return report;
 }
@@ -126,8 +125,8 @@
 
 void MeasureMessages() {
   PrintMessage("entry heartbeat", EntryHeartbeat{1, 2, 3});
-  PrintMessage("load report of 4 engines, no hints, 9 entries", ReportOf(0, 9));
-  PrintMessage("load report of 4 engines, 32 hints each, 9 entries", ReportOf(kReportedHints, 9));
+  PrintMessage("load report of 4 engines, no hints, 9 entries", MakeReport(0, 9));
+  PrintMessage("load report of 4 engines, 32 hints each, 9 entries", MakeReport(kReportedHints, 9));
   PrintMessage("chunk of one token", Chunk{{{1, 2}, 1}, 3, "token", 1});
   Offer offer;
   offer.id = {{1, 2}, 1};
@@ -170,7 +169,7 @@
 void MeasureConfiguration() {
   ConfigChange base = BaseChange();
   auto objects = static_cast<int>(base.objects.size());
-  Print("configuration, memory of one object", "B", BytesPerThing(objects, [&] {
+  Print("configuration, memory of one object", "B", BytesPerItem(objects, [&] {
           auto state = std::make_shared<ConfigState>();
           state->Apply(0, base);
           return state;
@@ -192,38 +191,38 @@
                      .median /
                  1e3;
         }));
-  // A day's changes to a configuration of full size, record by record.
+  // The changes of one day to a configuration of full size, applied record by record.
   std::vector<int64_t> versions(kAccounts, 0);
-  std::vector<std::string> day;
-  day.reserve(kChangesPerDay);
+  std::vector<std::string> day_of_changes;
+  day_of_changes.reserve(kChangesPerDay);
   for (int i = 0; i < kChangesPerDay; ++i) {
     int account = (i * 7919) % kAccounts;
     ConfigChange change;
     change.id = {2, static_cast<uint64_t>(i)};
     change.objects = {AccountChange(account, versions[static_cast<size_t>(account)])};
     versions[static_cast<size_t>(account)] = i + 1;
-    day.push_back(EncodeRecord(change));
+    day_of_changes.push_back(EncodeRecord(change));
   }
-  std::printf("| one change, bytes | %zu | - |\n", day[0].size());
+  std::printf("| one change, bytes | %zu | - |\n", day_of_changes[0].size());
   Print("one change, decode and apply", "us", Repeat([&] {
           ConfigState fresh;
           fresh.Apply(0, base);
           double start = ProcessorSeconds();
           for (int i = 0; i < kChangesPerDay; ++i) {
-            fresh.Apply(i + 1, DecodeRecord(day[static_cast<size_t>(i)]));
+            fresh.Apply(i + 1, DecodeRecord(day_of_changes[static_cast<size_t>(i)]));
           }
-          double used = ProcessorSeconds() - start;
+          double processor_seconds = ProcessorSeconds() - start;
           if (fresh.counters().accepted != kChangesPerDay + 1u) std::printf("changes rejected\n");
-          return used / kChangesPerDay * 1e6;
+          return processor_seconds / kChangesPerDay * 1e6;
         }));
 }
 
 // ----------------------------------------------------------------------- fleet
 
-std::shared_ptr<FleetView> FleetOf(int engines, size_t hints) {
+std::shared_ptr<FleetView> MakeFleet(int engines, size_t hints) {
   auto fleet = std::make_shared<FleetView>(1);
   for (int i = 0; i < engines / kEnginesPerEndpoint; ++i) {
-    EndpointHeartbeat report = ReportOf(hints, 9);
+    EndpointHeartbeat report = MakeReport(hints, 9);
     for (EngineLoad& load : report.engines) {
       load.model = "base";
       for (CacheHint& hint : load.cached) hint.prefix_hash += static_cast<uint64_t>(i) << 32;
@@ -237,13 +236,13 @@
   for (int engines : {20, 348, 10'000}) {
     std::string size = std::to_string(engines) + " engines known";
     Print(size + ", memory of one engine", "B",
-          BytesPerThing(engines, [&] { return FleetOf(engines, 0); }));
-    std::shared_ptr<FleetView> fleet = FleetOf(engines, 0);
-    EndpointHeartbeat report = ReportOf(0, 9);
+          BytesPerItem(engines, [&] { return MakeFleet(engines, 0); }));
+    std::shared_ptr<FleetView> fleet = MakeFleet(engines, 0);
+    EndpointHeartbeat report = MakeReport(0, 9);
     Print(size + ", take one load report", "us", MicrosPerCall(5000, [&](int i) {
             fleet->OnHeartbeat("box-" + std::to_string(i % (engines / 4)), report, kStart);
           }));
-    fleet = FleetOf(engines, 0);
+    fleet = MakeFleet(engines, 0);
     Policy policy = MakePolicy("estimate", 1);
     RoutingRequest request;
     request.prompt_tokens = 1500;
@@ -254,14 +253,15 @@
             policy(request, fleet->Candidates("base", {}, kStart, false));
           }));
   }
-  Print("memory of one prefix hint", "B", BytesPerThing(348 * 32, [] { return FleetOf(348, 32); }));
+  Print("memory of one prefix hint", "B",
+        BytesPerItem(348 * 32, [] { return MakeFleet(348, 32); }));
 }
 
 // ------------------------------------------------------------ the other tables
 
 void MeasureTables() {
   constexpr int kKeys = 200'000;
-  Print("memory of one idempotency key", "B", BytesPerThing(kKeys, [] {
+  Print("memory of one idempotency key", "B", BytesPerItem(kKeys, [] {
           auto table = std::make_shared<ClaimTable>(ClaimTableOptions{});
           for (int i = 0; i < kKeys; ++i) {
             table->Apply({{static_cast<uint64_t>(i % 261), static_cast<uint64_t>(i)},
@@ -278,7 +278,7 @@
           }
           table.Apply(batch, kStart);
         }));
-  Print("memory of one account's limits", "B", BytesPerThing(kAccounts, [] {
+  Print("memory of one account's limits", "B", BytesPerItem(kAccounts, [] {
           auto limits = std::make_shared<AccountLimits>();
           for (int i = 0; i < kAccounts; ++i) {
             limits->Admit("account-" + std::to_string(i), {100, 100, 10}, 1, kStart);
@@ -299,7 +299,7 @@
     options.incarnation = 1;
     auto core = std::make_shared<EntryCore>(options, &feed, kStart);
     for (int i = 0; i < 87; ++i) {
-      EndpointHeartbeat report = ReportOf(0, 9);
+      EndpointHeartbeat report = MakeReport(0, 9);
       for (EngineLoad& load : report.engines) load.model = "base";
       core->OnMessage("box-" + std::to_string(i), report, kStart);
     }
@@ -310,9 +310,9 @@
           auto core = make();
           double before = HeapBytes();
           for (int i = 0; i < kRequests; ++i) {
-            RequestInput own = input;
-            own.prompt = std::make_shared<const std::string>(*input.prompt);
-            core->Submit(std::move(own), kStart);
+            RequestInput request_input = input;
+            request_input.prompt = std::make_shared<const std::string>(*input.prompt);
+            core->Submit(std::move(request_input), kStart);
             core->TakeActions();
           }
           return (HeapBytes() - before) / kRequests;
--- a/src/testing/fleet.cc
+++ b/src/testing/fleet.cc
@@ -1,4 +1,5 @@
-// fleet.h tells the rules.
+// Starts the programs with posix_spawn, each with its own settings file and log file in a
+// temporary folder.
 
 #include "testing/fleet.h"
 
@@ -88,8 +89,8 @@
 int Fleet::WaitForExit(const std::string& name) {
   Child child = this->children.at(name);
   int status = 0;
-  bool ended = WaitFor([&] { return waitpid(child.pid, &status, WNOHANG) == child.pid; });
-  CHECK(ended) << name << " did not end";
+  bool has_exited = WaitFor([&] { return waitpid(child.pid, &status, WNOHANG) == child.pid; });
+  CHECK(has_exited) << name << " did not exit";
   this->stopped[name] = child;
   this->children.erase(name);
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -101,9 +102,9 @@
 }
 
 bool Fleet::WaitFor(const std::function<bool()>& condition) {
-  Time end = Now() + kWaitTimeout;
+  Time deadline = Now() + kWaitTimeout;
   while (!condition()) {
-    if (Now() >= end) return false;
+    if (Now() >= deadline) return false;
     std::this_thread::sleep_for(milliseconds(10));
   }
   return true;
@@ -133,8 +134,8 @@
   return Call("POST", url, all, body.dump());
 }
 
-void Fleet::InjectFault(const std::string& name, const json& knobs) {
-  Call("POST", "http://" + this->Address(name) + "/fault", {}, knobs.dump());
+void Fleet::InjectFault(const std::string& name, const json& faults) {
+  Call("POST", "http://" + this->Address(name) + "/fault", {}, faults.dump());
 }
 
 json Fleet::GetJson(const std::string& address, const std::string& path) {
@@ -149,12 +150,12 @@
     bool entry = name.compare(0, 6, "entry-") == 0;
     if (!endpoint && !entry) continue;
     std::string box = endpoint ? "box-" + name.substr(9) : name;
-    bool leaves = std::find(leaving.begin(), leaving.end(), box) != leaving.end();
+    bool is_leaving = std::find(leaving.begin(), leaving.end(), box) != leaving.end();
     boxes.push_back({{"box", box},
                      {"zone", "fukuoka"},
                      {"role", endpoint ? "endpoint" : "entry"},
                      {"address", this->Address(name)},
-                     {"state", leaves ? "leaving" : "live"}});
+                     {"state", is_leaving ? "leaving" : "live"}});
   }
   Call("PUT", "http://" + this->Address("platform") + "/boxes", {}, boxes.dump());
 }
@@ -231,7 +232,7 @@
       this->Run("gullwardctl", {"publish", config, "--platform=" + this->Address("platform")});
   CHECK_EQ(published.status, 0) << published.output;
   for (int i = 0; i < this->options.entries; ++i) {
-    CHECK(this->WaitForEngines(i, this->options.engines)) << "the fleet did not get ready";
+    CHECK(this->WaitForEngines(i, this->options.engines)) << "an entry cannot reach all engines";
   }
 }
 
--- a/src/testing/raw_http.h
+++ b/src/testing/raw_http.h
@@ -1,5 +1,5 @@
-// Sends bytes to a server as they are and reads all that comes back, for golden
-// files and for requests that no HTTP library would send.
+// A client that sends raw bytes to a server and returns the raw bytes of the answer, for
+// golden files and for invalid requests that no HTTP library sends.
 
 #ifndef GULLWARD_TESTING_RAW_HTTP_H_
 #define GULLWARD_TESTING_RAW_HTTP_H_
@@ -15,6 +15,7 @@
 
 namespace gullward {
 
+// A blocking TCP connection.  Reads time out after 60 seconds.
 class RawConnection {
  public:
   explicit RawConnection(const std::string& address) {
@@ -22,13 +23,14 @@
     socklen_t length = SocketAddress::Parse(address)->Fill(&storage);
     this->fd = socket(storage.ss_family, SOCK_STREAM, 0);
     this->connected = connect(this->fd, reinterpret_cast<sockaddr*>(&storage), length) == 0;
-    timeval patience{60, 0};
-    setsockopt(this->fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+    timeval timeout{60, 0};
+    setsockopt(this->fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
   }
   ~RawConnection() { close(this->fd); }
   RawConnection(const RawConnection&) = delete;
   RawConnection& operator=(const RawConnection&) = delete;
 
+  // Sends all bytes.  Returns false if the connection is closed.
   bool Send(const std::string& bytes) {
     size_t sent = 0;
     while (sent < bytes.size()) {
@@ -39,10 +41,11 @@
     return true;
   }
 
-  // Shuts the sending side down.
+  // Shuts down the sending side.
   void HalfClose() { shutdown(this->fd, SHUT_WR); }
 
-  // Reads until the server closes; `closed` tells whether it did.
+  // Reads until the server closes the connection or a read times out.  Sets `closed` to
+  // whether the server closed or reset the connection.
   std::string ReadToEnd(bool* closed = nullptr) {
     std::string all;
     char buffer[65536];
@@ -59,18 +62,18 @@
   bool connected = false;
 };
 
-// How many tokens come in one event, and how many events in one chunk, is up to
-// the timing of three processes: the chunks' lengths are left out, and parts of
-// text that follow each other are joined.
+// Removes the differences in a streamed answer that depend on the timing of three processes:
+// how many tokens are in one event, and how many events in one chunk.  The lengths of chunks
+// are removed, and consecutive parts of text are joined.
 inline std::string JoinedParts(const std::string& answer) {
   std::string joined;
   std::string last_head;
-  bool seen_empty = false;
+  bool has_seen_empty = false;
   std::istringstream lines(std::regex_replace(answer, std::regex("\n[0-9A-Fa-f]+\n"), "\n"));
   for (std::string line; std::getline(lines, line);) {
-    // Only the first empty line, after the head, says anything.
-    if (line.empty() && seen_empty) continue;
-    seen_empty = seen_empty || line.empty();
+    // Only the first empty line is kept, which ends the head.
+    if (line.empty() && has_seen_empty) continue;
+    has_seen_empty = has_seen_empty || line.empty();
     std::smatch match;
     static const std::regex part("(.*\"(?:text|content)\":\")([^\"]+)(\".*)");
     bool is_part = std::regex_match(line, match, part) && line.compare(0, 5, "data:") == 0;
@@ -85,8 +88,8 @@
   return joined;
 }
 
-// Replaces what differs from run to run: dates, ids, creation times, and when to
-// come back, which follows from speeds that were measured.
+// Replaces the values that differ from run to run: dates, request ids, creation times, and
+// Retry-After, which depends on measured speeds.
 inline std::string Normalised(std::string text) {
   text = std::regex_replace(text, std::regex("Date: [^\r]*"), "Date: DATE");
   text = std::regex_replace(text, std::regex("Retry-After: [0-9]+"), "Retry-After: SECONDS");
--- a/src/testing/spawn.cc
+++ b/src/testing/spawn.cc
@@ -1,4 +1,4 @@
-// spawn.h.
+// Wraps posix_spawn.
 
 #include "testing/spawn.h"
 
--- a/src/testing/spawn.h
+++ b/src/testing/spawn.h
@@ -1,4 +1,4 @@
-// Starting a program with its output in a file, for tests and for the soak.
+// Starts programs with their output in a file, for tests and for the soak.
 
 #ifndef GULLWARD_TESTING_SPAWN_H_
 #define GULLWARD_TESTING_SPAWN_H_
@@ -10,12 +10,13 @@
 
 namespace gullward {
 
-// Starts the program at `path`; what it writes to standard output and standard
-// error is appended to the file `output`.  Ends the caller if it cannot be started.
+// Starts the program at `path` and returns its process id.  Its standard output and standard
+// error are appended to the file `output`.  If the program cannot be started, a failed CHECK
+// ends the calling process.
 pid_t SpawnProgram(const std::string& path, const std::vector<std::string>& arguments,
                    const std::string& output);
 
-// A file's text, or "" where there is none.
+// The text of a file, or "" if the file cannot be read.
 std::string ReadWholeFile(const std::string& path);
 
 }  // namespace gullward
--- a/src/testing/streamed_call.h
+++ b/src/testing/streamed_call.h
@@ -1,4 +1,4 @@
-// A streamed completion that a test can watch while it runs.
+// A streamed completion whose text a test can read while the stream is running.
 
 #ifndef GULLWARD_TESTING_STREAMED_CALL_H_
 #define GULLWARD_TESTING_STREAMED_CALL_H_
@@ -12,6 +12,8 @@
 
 namespace gullward {
 
+// Runs one streamed call on a thread of its own.  All member functions are safe to call from
+// the test's thread at any time.
 class StreamedCall {
  public:
   StreamedCall(const std::string& url, const HttpHeaders& headers, const std::string& body) {
@@ -24,25 +26,27 @@
   StreamedCall(const StreamedCall&) = delete;
   StreamedCall& operator=(const StreamedCall&) = delete;
 
-  // The text passed on so far.
+  // The text received so far.
   std::string text() {
     std::lock_guard<std::mutex> lock(this->mutex);
-    return this->got;
+    return this->received_text;
   }
-  // Whether "[DONE]" came.
+  // Whether the final event "[DONE]" has been received, that is, the answer is complete.
   bool received_done() {
     std::lock_guard<std::mutex> lock(this->mutex);
-    return this->ended_whole;
+    return this->has_received_done;
   }
+  // Whether the call has ended, with or without a complete answer.
   bool is_finished() {
     std::lock_guard<std::mutex> lock(this->mutex);
-    return this->is_over;
+    return this->has_ended;
   }
+  // The result of the HTTP call; empty until is_finished().
   HttpResult result() {
     std::lock_guard<std::mutex> lock(this->mutex);
     return this->answer;
   }
-  // The error event of a stream that broke.
+  // The error event of a stream that failed; null if there was none.
   nlohmann::json error() {
     std::lock_guard<std::mutex> lock(this->mutex);
     return this->error_event;
@@ -60,39 +64,39 @@
     call.body = body;
     call.timeout = seconds(90);
     HttpClient::Hooks hooks;
-    hooks.data = [this](const std::string& part) { this->Take(part); };
+    hooks.data = [this](const std::string& part) { this->ReceivePart(part); };
     hooks.done = [this](const HttpResult& result) {
       std::lock_guard<std::mutex> lock(this->mutex);
       this->answer = result;
-      this->is_over = true;
+      this->has_ended = true;
       this->loop.Stop();
     };
     client.Start(std::move(call), std::move(hooks));
     this->loop.Run();
   }
 
-  void Take(const std::string& part) {
+  void ReceivePart(const std::string& part) {
     std::lock_guard<std::mutex> lock(this->mutex);
     this->unread += part;
     for (size_t end = this->unread.find("\n\n"); end != std::string::npos;
          end = this->unread.find("\n\n")) {
       std::string data = this->unread.substr(6, end - 6);
       this->unread.erase(0, end + 2);
-      if (data == "[DONE]") this->ended_whole = true;
+      if (data == "[DONE]") this->has_received_done = true;
       nlohmann::json event = nlohmann::json::parse(data, nullptr, false);
       if (!event.is_object()) continue;
       if (event.contains("error")) this->error_event = event["error"];
       if (!event.contains("choices") || event["choices"].empty()) continue;
-      this->got += event["choices"][0].value("text", std::string());
+      this->received_text += event["choices"][0].value("text", std::string());
     }
   }
 
   EventLoop loop;
   std::mutex mutex;
   std::string unread;
-  std::string got;
-  bool ended_whole = false;
-  bool is_over = false;
+  std::string received_text;
+  bool has_received_done = false;
+  bool has_ended = false;
   HttpResult answer;
   nlohmann::json error_event;
   std::thread thread;
