--- a/src/capacity/main.cc
+++ b/src/capacity/main.cc
@@ -24,7 +24,7 @@
 #include "endpoint/endpoint_core.h"
 #include "process/process.h"
 #include "request/entry_core.h"
-#include "trial/world.h"
+#include "trial/simulation.h"
 #include "wire/codec.h"
 
 namespace gullward {
--- a/src/request/testing/entry_core_test.cc
+++ b/src/request/testing/entry_core_test.cc
@@ -10,7 +10,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "config/config_file.h"
-#include "trial/world.h"
+#include "trial/simulation.h"
 #include "wire/codec.h"
 
 namespace gullward {
--- a/src/trial/crash_trial.cc
+++ b/src/trial/crash_trial.cc
@@ -63,9 +63,9 @@
   std::set<EngineKey> tried;
 };
 
-class World {
+class CrashSimulation {
  public:
-  explicit World(const CrashTrialOptions& trial_options)
+  explicit CrashSimulation(const CrashTrialOptions& trial_options)
       : options(trial_options), random(trial_options.seed), events(kStart) {
     for (size_t i = 0; i < this->options.gateways; ++i) {
       this->gateways.push_back({absl::StrCat("box-", i), nullptr, kStart - seconds(60)});
@@ -456,6 +456,8 @@
 
 }  // namespace
 
-CrashTrialResult PlayCrashes(const CrashTrialOptions& options) { return World(options).Play(); }
+CrashTrialResult PlayCrashes(const CrashTrialOptions& options) {
+  return CrashSimulation(options).Play();
+}
 
 }  // namespace gullward
--- a/src/trial/limit_trial.cc
+++ b/src/trial/limit_trial.cc
@@ -64,9 +64,9 @@
   size_t gateway;
 };
 
-class World {
+class LimitSimulation {
  public:
-  explicit World(const LimitTrialOptions& trial_options)
+  explicit LimitSimulation(const LimitTrialOptions& trial_options)
       : options(trial_options), random(trial_options.seed), events(kStart) {
     this->service = {kService, "/healthz", 0, true, {}};
     this->service.speed.slots = 16;
@@ -422,6 +422,8 @@
 
 }  // namespace
 
-LimitTrialResult PlayLimits(const LimitTrialOptions& options) { return World(options).Play(); }
+LimitTrialResult PlayLimits(const LimitTrialOptions& options) {
+  return LimitSimulation(options).Play();
+}
 
 }  // namespace gullward
--- a/src/trial/main.cc
+++ b/src/trial/main.cc
@@ -26,7 +26,7 @@
 #include "process/process.h"
 #include "standins/answer.h"
 #include "trial/fleet_tables.h"
-#include "trial/world.h"
+#include "trial/simulation.h"
 
 DEFINE_string(deployments, "catalogue,berkapu", "which deployments");
 DEFINE_string(loads, "50,80,100,130", "per cent of the fleet's capacity");
@@ -202,59 +202,59 @@
   std::vector<std::string> broken;
 };
 
-void Strike(World* world, const std::string& condition) {
-  Time at = world->now() + kFaultAt;
+void Strike(Simulation* simulation, const std::string& condition) {
+  Time at = simulation->now() + kFaultAt;
   if (condition == "engine_dead") {
-    world->At(at, [world] {
-      world->KillEngine(0, 0);
-      world->FreezeEngine(0, 0, kFaultFor);
+    simulation->At(at, [simulation] {
+      simulation->KillEngine(0, 0);
+      simulation->FreezeEngine(0, 0, kFaultFor);
     });
   } else if (condition == "engine_slow") {
-    world->At(at, [world] { world->SlowEngine(0, 0, 10); });
+    simulation->At(at, [simulation] { simulation->SlowEngine(0, 0, 10); });
   } else if (condition == "zone_lost") {
     for (size_t i = 0; i < 2; ++i) {
-      world->At(at, [world, i] { world->KillEndpoint(i); });
-      world->At(at + kFaultFor, [world, i] { world->RestartEndpoint(i); });
+      simulation->At(at, [simulation, i] { simulation->KillEndpoint(i); });
+      simulation->At(at + kFaultFor, [simulation, i] { simulation->RestartEndpoint(i); });
     }
   } else if (condition == "log_down") {
-    world->At(at, [world] { world->SetLogDown(true); });
+    simulation->At(at, [simulation] { simulation->SetLogDown(true); });
   } else if (condition == "entry_restarted") {
-    world->At(at, [world] { world->KillEntry(1); });
-    world->At(at + seconds(2), [world] { world->RestartEntry(1); });
+    simulation->At(at, [simulation] { simulation->KillEntry(1); });
+    simulation->At(at + seconds(2), [simulation] { simulation->RestartEntry(1); });
   }
 }
 
 Figures Measure(const Run& run) {
-  WorldOptions options;
+  SimulationOptions options;
   options.entries = kEntries;
   options.endpoints = kEndpoints;
   options.engines_per_endpoint = kEnginesPerEndpoint;
   options.seed = FLAGS_seed;
   if (run.condition == "reports_late") options.report_lag = seconds(5);
   if (run.condition == "hints_lost") options.hint_loss = 0.5;
-  World world(options);
-  world.Publish(ConfigOf(*run.deployment, run.policy));
-  world.RunFor(seconds(1));
-  Strike(&world, run.condition);
+  Simulation simulation(options);
+  simulation.Publish(ConfigOf(*run.deployment, run.policy));
+  simulation.RunFor(seconds(1));
+  Strike(&simulation, run.condition);
   std::vector<Arrival> arrivals = MakeArrivals(*run.deployment, run.load / 100.0, run.shorts_only);
   std::vector<size_t> band_of;
   for (size_t i = 0; i < arrivals.size(); ++i) {
-    world.RunUntil(arrivals[i].at);
+    simulation.RunUntil(arrivals[i].at);
     // Callers come back to the other entry while theirs is down.
     size_t entry = i % kEntries;
-    if (world.entry(entry) == nullptr) entry = 0;
-    world.Submit(entry, MakeInput(*run.deployment, arrivals[i]));
+    if (simulation.entry(entry) == nullptr) entry = 0;
+    simulation.Submit(entry, MakeInput(*run.deployment, arrivals[i]));
     band_of.push_back(arrivals[i].band);
   }
   auto all_ended = [&] {
-    return std::all_of(world.all_calls().begin(), world.all_calls().end(),
+    return std::all_of(simulation.all_calls().begin(), simulation.all_calls().end(),
                        [](const Call& call) { return call.ended; });
   };
-  while (!all_ended()) world.RunFor(seconds(5));
+  while (!all_ended()) simulation.RunFor(seconds(5));
 
   Figures figures;
-  for (size_t i = 0; i < world.all_calls().size(); ++i) {
-    const Call& call = world.call(i);
+  for (size_t i = 0; i < simulation.all_calls().size(); ++i) {
+    const Call& call = simulation.call(i);
     ++figures.sent;
     if (call.finished) ++figures.in_time;
     if (call.finished) {
@@ -267,10 +267,10 @@
   }
   double retries = 0;
   for (size_t e = 0; e < kEntries; ++e) {
-    retries += static_cast<double>(world.entry(e)->counters().retries);
+    retries += static_cast<double>(simulation.entry(e)->counters().retries);
   }
   figures.retries = retries / static_cast<double>(std::max<size_t>(figures.sent, 1));
-  figures.broken = world.CheckInvariants(false);
+  figures.broken = simulation.CheckInvariants(false);
   return figures;
 }
 
--- a/src/trial/scale_trial.cc
+++ b/src/trial/scale_trial.cc
@@ -37,9 +37,9 @@
   uint64_t sequence = 0;
 };
 
-class World {
+class ScaleSimulation {
  public:
-  explicit World(const ScaleOptions& trial_options)
+  explicit ScaleSimulation(const ScaleOptions& trial_options)
       : options(trial_options), random(trial_options.seed), events(kStart) {
     this->service = {kService, "/healthz", 0, true, {}};
     this->service.speed.slots = this->options.slots;
@@ -210,6 +210,6 @@
 
 }  // namespace
 
-ScaleResult PlayScale(const ScaleOptions& options) { return World(options).Play(); }
+ScaleResult PlayScale(const ScaleOptions& options) { return ScaleSimulation(options).Play(); }
 
 }  // namespace gullward
--- a/src/trial/world.cc
+++ b/src/trial/simulation.cc
@@ -1,6 +1,6 @@
 // world.h tells what it is for.
 
-#include "trial/world.h"
+#include "trial/simulation.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-World::World(const WorldOptions& world_options)
-    : options(world_options), clock(std::chrono::hours(1)), random(world_options.seed) {
+Simulation::Simulation(const SimulationOptions& simulation_options)
+    : options(simulation_options), clock(std::chrono::hours(1)), random(simulation_options.seed) {
   for (size_t i = 0; i < this->options.endpoints; ++i) {
     auto node = std::make_unique<EndpointNode>();
     node->index = i;
@@ -51,17 +51,17 @@
 
 // ------------------------------------------------------------ events and time
 
-void World::At(Time when, std::function<void()> task) {
+void Simulation::At(Time when, std::function<void()> task) {
   this->events.push({std::max(when, this->clock), this->next_order++, std::move(task)});
 }
 
-void World::RunUntil(Time end) {
+void Simulation::RunUntil(Time end) {
   this->RunUntilTrue([] { return false; }, end - this->clock);
 }
 
-void World::RunFor(Duration duration) { this->RunUntil(this->clock + duration); }
+void Simulation::RunFor(Duration duration) { this->RunUntil(this->clock + duration); }
 
-bool World::RunUntilTrue(const std::function<bool()>& condition, Duration most) {
+bool Simulation::RunUntilTrue(const std::function<bool()>& condition, Duration most) {
   Time end = this->clock + most;
   while (!condition()) {
     if (this->events.empty() || this->events.top().at > end) {
@@ -77,7 +77,7 @@
 }
 
 template <typename Node>
-void World::DeliverTo(Node* node, Duration delay, std::function<void()> task) {
+void Simulation::DeliverTo(Node* node, Duration delay, std::function<void()> task) {
   uint64_t life = node->life;
   this->At(this->clock + delay, [this, node, life, task = std::move(task)] {
     if (!node->alive || node->life != life) return;
@@ -89,16 +89,16 @@
   });
 }
 
-void World::Deliver(EntryNode* node, Duration delay, std::function<void()> task) {
+void Simulation::Deliver(EntryNode* node, Duration delay, std::function<void()> task) {
   this->DeliverTo(node, delay, std::move(task));
 }
 
-void World::Deliver(EndpointNode* node, Duration delay, std::function<void()> task) {
+void Simulation::Deliver(EndpointNode* node, Duration delay, std::function<void()> task) {
   this->DeliverTo(node, delay, std::move(task));
 }
 
 template <typename Node>
-void World::Pause(Node* node, Duration duration) {
+void Simulation::Pause(Node* node, Duration duration) {
   node->paused_until = this->clock + duration;
   uint64_t life = node->life;
   this->At(node->paused_until, [node, life] {
@@ -108,7 +108,7 @@
   });
 }
 
-void World::Trace(const std::string& line) {
+void Simulation::Trace(const std::string& line) {
   if (!this->trace) return;
   char time[32];
   std::snprintf(time, sizeof(time), "%9.3f ", ToSeconds(this->clock - Time(std::chrono::hours(1))));
@@ -117,11 +117,11 @@
 
 // ------------------------------------------------------------------ processes
 
-std::string World::EngineAddress(size_t endpoint, uint32_t engine) const {
+std::string Simulation::EngineAddress(size_t endpoint, uint32_t engine) const {
   return this->BoxName(endpoint) + "/" + std::to_string(engine);
 }
 
-void World::StartEntry(EntryNode* node) {
+void Simulation::StartEntry(EntryNode* node) {
   node->alive = true;
   ++node->life;
   node->held.clear();
@@ -139,7 +139,7 @@
   this->TickEntry(node->index, node->life);
 }
 
-void World::StartEndpoint(EndpointNode* node) {
+void Simulation::StartEndpoint(EndpointNode* node) {
   node->alive = true;
   ++node->life;
   node->held.clear();
@@ -162,7 +162,7 @@
   this->TickEndpoint(node->index, node->life);
 }
 
-void World::TickEntry(size_t entry, uint64_t life) {
+void Simulation::TickEntry(size_t entry, uint64_t life) {
   EntryNode* node = this->entry_nodes[entry].get();
   if (!node->alive || node->life != life) return;
   this->At(this->clock + kEntryTick, [this, entry, life] { this->TickEntry(entry, life); });
@@ -172,7 +172,7 @@
   this->Perform(node);
 }
 
-void World::TickEndpoint(size_t endpoint, uint64_t life) {
+void Simulation::TickEndpoint(size_t endpoint, uint64_t life) {
   EndpointNode* node = this->endpoint_nodes[endpoint].get();
   if (!node->alive || node->life != life) return;
   this->At(this->clock + kEndpointTick,
@@ -182,14 +182,14 @@
   this->Perform(node);
 }
 
-void World::ReadClaims(EntryNode* node) {
+void Simulation::ReadClaims(EntryNode* node) {
   if (this->log_down) return;
   while (node->next_claim < this->claims_log.size()) {
     node->core->OnClaimRecord(this->claims_log[node->next_claim++], this->clock);
   }
 }
 
-void World::KillEntry(size_t entry) {
+void Simulation::KillEntry(size_t entry) {
   EntryNode* node = this->entry_nodes[entry].get();
   node->alive = false;
   ++node->life;
@@ -203,13 +203,13 @@
   node->core.reset();
 }
 
-void World::RestartEntry(size_t entry) { this->StartEntry(this->entry_nodes[entry].get()); }
+void Simulation::RestartEntry(size_t entry) { this->StartEntry(this->entry_nodes[entry].get()); }
 
-void World::PauseEntry(size_t entry, Duration duration) {
+void Simulation::PauseEntry(size_t entry, Duration duration) {
   this->Pause(this->entry_nodes[entry].get(), duration);
 }
 
-void World::KillEndpoint(size_t endpoint) {
+void Simulation::KillEndpoint(size_t endpoint) {
   EndpointNode* node = this->endpoint_nodes[endpoint].get();
   node->alive = false;
   ++node->life;
@@ -217,25 +217,25 @@
   node->core.reset();
 }
 
-void World::RestartEndpoint(size_t endpoint) {
+void Simulation::RestartEndpoint(size_t endpoint) {
   this->StartEndpoint(this->endpoint_nodes[endpoint].get());
 }
 
-void World::PauseEndpoint(size_t endpoint, Duration duration) {
+void Simulation::PauseEndpoint(size_t endpoint, Duration duration) {
   this->Pause(this->endpoint_nodes[endpoint].get(), duration);
 }
 
-void World::DrainEndpoint(size_t endpoint) {
+void Simulation::DrainEndpoint(size_t endpoint) {
   EndpointNode* node = this->endpoint_nodes[endpoint].get();
   node->core->Drain(this->clock);
   this->Perform(node);
 }
 
-void World::DrainEntry(size_t entry) { this->entry_nodes[entry]->core->Drain(); }
+void Simulation::DrainEntry(size_t entry) { this->entry_nodes[entry]->core->Drain(); }
 
 // ---------------------------------------------------------------------- links
 
-void World::HeartbeatLinks() {
+void Simulation::HeartbeatLinks() {
   for (size_t e = 0; e < this->entry_nodes.size(); ++e) {
     EntryNode* entry_node = this->entry_nodes[e].get();
     bool entry_awake = entry_node->alive && entry_node->paused_until <= this->clock;
@@ -263,7 +263,7 @@
   this->At(this->clock + kReportPeriod, [this] { this->HeartbeatLinks(); });
 }
 
-EndpointHeartbeat World::ReportOf(EndpointNode* node) {
+EndpointHeartbeat Simulation::ReportOf(EndpointNode* node) {
   EndpointHeartbeat report = node->core->Heartbeat(-1, this->clock);
   if (this->options.report_lag > Duration{}) {
     node->reports.emplace_back(this->clock, report);
@@ -280,7 +280,7 @@
   return report;
 }
 
-void World::ConnectLink(size_t e, size_t b) {
+void Simulation::ConnectLink(size_t e, size_t b) {
   Link& link = this->links[{e, b}];
   link.up = true;
   ++link.session;
@@ -293,7 +293,7 @@
   });
 }
 
-void World::BreakLink(size_t e, size_t b) {
+void Simulation::BreakLink(size_t e, size_t b) {
   Link& link = this->links[{e, b}];
   if (!link.up) return;
   link.up = false;
@@ -313,13 +313,13 @@
   });
 }
 
-void World::CutLink(size_t e, size_t b) { this->BreakLink(e, b); }
+void Simulation::CutLink(size_t e, size_t b) { this->BreakLink(e, b); }
 
-void World::SilenceLink(size_t e, size_t b, Duration duration) {
+void Simulation::SilenceLink(size_t e, size_t b, Duration duration) {
   this->links[{e, b}].silent_until = this->clock + duration;
 }
 
-void World::SendToEndpoint(size_t e, size_t b, const Message& message) {
+void Simulation::SendToEndpoint(size_t e, size_t b, const Message& message) {
   Link& link = this->links[{e, b}];
   if (!link.up || link.silent_until > this->clock) return;
   EndpointNode* node = this->endpoint_nodes[b].get();
@@ -334,7 +334,7 @@
   });
 }
 
-void World::SendToEntry(size_t b, PeerId peer, const Message& message) {
+void Simulation::SendToEntry(size_t b, PeerId peer, const Message& message) {
   size_t e = peer - 1;
   Link& link = this->links[{e, b}];
   if (!link.up || link.silent_until > this->clock) return;
@@ -354,12 +354,12 @@
 
 // -------------------------------------------------------------------- actions
 
-Call* World::CallOf(const RequestId& id) {
+Call* Simulation::CallOf(const RequestId& id) {
   auto found = this->call_of.find(id);
   return found == this->call_of.end() ? nullptr : &this->calls[found->second];
 }
 
-void World::Perform(EntryNode* node) {
+void Simulation::Perform(EntryNode* node) {
   for (const EntryAction& action : node->core->TakeActions()) {
     if (this->on_entry_action) this->on_entry_action(action);
     // The hook may have killed the node; what it had decided is lost with it.
@@ -401,7 +401,7 @@
   }
 }
 
-void World::Perform(EndpointNode* node) {
+void Simulation::Perform(EndpointNode* node) {
   for (const EndpointAction& action : node->core->TakeActions()) {
     this->acting = node->index;
     if (this->on_endpoint_action) this->on_endpoint_action(action);
@@ -422,7 +422,7 @@
 
 // -------------------------------------------------------------------- engines
 
-void World::StartEngineJob(EndpointNode* node, const StartOnEngine& start) {
+void Simulation::StartEngineJob(EndpointNode* node, const StartOnEngine& start) {
   this->Trace(this->BoxName(node->index) + " > engine start " + ToString(start.id));
   node->last_start = this->clock;
   const Offer& offer = start.offer;
@@ -481,7 +481,7 @@
   });
 }
 
-void World::ScheduleEngine(EndpointNode* node, uint32_t index) {
+void Simulation::ScheduleEngine(EndpointNode* node, uint32_t index) {
   EngineNode* engine = node->engines[index].get();
   std::optional<Time> next = engine->model->NextEvent();
   if (!next || *next == engine->planned) return;
@@ -501,7 +501,7 @@
   });
 }
 
-void World::AdvanceEngine(EndpointNode* node, uint32_t index) {
+void Simulation::AdvanceEngine(EndpointNode* node, uint32_t index) {
   EngineNode* engine = node->engines[index].get();
   for (const EngineEvent& event : engine->model->AdvanceTo(this->clock)) {
     auto found = engine->streams.find(event.allocation);
@@ -529,7 +529,7 @@
   this->ScheduleEngine(node, index);
 }
 
-void World::FreeEngineJob(EndpointNode* node, const FreeOnEngine& action) {
+void Simulation::FreeEngineJob(EndpointNode* node, const FreeOnEngine& action) {
   this->Trace(this->BoxName(node->index) + " > engine free " + action.allocation);
   EngineNode* engine = node->engines[action.engine].get();
   auto answer = [this, node, action](bool freed, Duration delay) {
@@ -549,7 +549,7 @@
   });
 }
 
-void World::ListEngine(EndpointNode* node, uint32_t index) {
+void Simulation::ListEngine(EndpointNode* node, uint32_t index) {
   EngineNode* engine = node->engines[index].get();
   bool frozen = this->Frozen(*engine);
   this->Deliver(node, frozen ? Duration(kControlTimeout) : kEngineDelay,
@@ -567,7 +567,7 @@
                 });
 }
 
-void World::BreakStreams(EndpointNode* node, uint32_t index, Ran ran) {
+void Simulation::BreakStreams(EndpointNode* node, uint32_t index, Ran ran) {
   EngineNode* engine = node->engines[index].get();
   for (const auto& [name, id] : engine->streams) {
     if (engine->stream_life[name] != node->life) continue;
@@ -580,7 +580,7 @@
   engine->stream_life.clear();
 }
 
-void World::KillEngine(size_t endpoint, uint32_t index) {
+void Simulation::KillEngine(size_t endpoint, uint32_t index) {
   EndpointNode* node = this->endpoint_nodes[endpoint].get();
   EngineNode* engine = node->engines[index].get();
   this->BreakStreams(node, index, Ran::kUnknown);
@@ -590,22 +590,22 @@
   engine->planned = Time();
 }
 
-void World::FreezeEngine(size_t endpoint, uint32_t index, Duration duration) {
+void Simulation::FreezeEngine(size_t endpoint, uint32_t index, Duration duration) {
   EngineNode* engine = this->endpoint_nodes[endpoint]->engines[index].get();
   engine->frozen_until = this->clock + duration;
 }
 
-void World::SlowEngine(size_t endpoint, uint32_t index, double factor) {
+void Simulation::SlowEngine(size_t endpoint, uint32_t index, double factor) {
   EngineNode* engine = this->endpoint_nodes[endpoint]->engines[index].get();
   engine->slowness = factor;
   engine->model->SetSlowness(factor);
 }
 
-void World::CutStreams(size_t endpoint, uint32_t index) {
+void Simulation::CutStreams(size_t endpoint, uint32_t index) {
   this->BreakStreams(this->endpoint_nodes[endpoint].get(), index, Ran::kYes);
 }
 
-void World::RunService(EndpointNode* node, const CallService& action) {
+void Simulation::RunService(EndpointNode* node, const CallService& action) {
   this->Trace(this->BoxName(node->index) + " > service call " + ToString(action.id));
   node->last_start = this->clock;
   Call* call = this->CallOf(action.id.request);
@@ -620,7 +620,7 @@
 
 // -------------------------------------------------------------------- callers
 
-size_t World::Submit(size_t entry, RequestInput input) {
+size_t Simulation::Submit(size_t entry, RequestInput input) {
   EntryNode* node = this->entry_nodes[entry].get();
   size_t index = this->calls.size();
   Call call;
@@ -647,7 +647,7 @@
   return index;
 }
 
-void World::CallerLeaves(size_t index) {
+void Simulation::CallerLeaves(size_t index) {
   Call& call = this->calls[index];
   call.gone = true;
   if (call.ended) return;
@@ -660,7 +660,7 @@
   });
 }
 
-void World::Publish(const std::string& config_toml) {
+void Simulation::Publish(const std::string& config_toml) {
   std::vector<ConfigError> errors;
   std::optional<ConfigFile> file = ParseConfigFile(config_toml, "world", &errors);
   ConfigState state;
@@ -691,7 +691,7 @@
 
 // ------------------------------------------------------------------ invariants
 
-std::vector<std::string> World::CheckInvariants(bool quiet) const {
+std::vector<std::string> Simulation::CheckInvariants(bool quiet) const {
   std::vector<std::string> broken;
   std::map<uint64_t, int> starts_of_key;
   for (size_t i = 0; i < this->calls.size(); ++i) {
--- a/src/trial/world.h
+++ b/src/trial/simulation.h
@@ -14,8 +14,8 @@
 //   const Call& result = world.call(call);
 //   std::vector<std::string> broken = world.CheckInvariants();
 
-#ifndef GULLWARD_TRIAL_WORLD_H_
-#define GULLWARD_TRIAL_WORLD_H_
+#ifndef GULLWARD_TRIAL_SIMULATION_H_
+#define GULLWARD_TRIAL_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -35,7 +35,7 @@
 
 namespace gullward {
 
-struct WorldOptions {
+struct SimulationOptions {
   size_t entries = 1;
   size_t endpoints = 3;
   size_t engines_per_endpoint = 1;
@@ -76,9 +76,9 @@
   int starts = 0;
 };
 
-class World {
+class Simulation {
  public:
-  explicit World(const WorldOptions& options);
+  explicit Simulation(const SimulationOptions& options);
 
   // Publishes a configuration file's objects; every process has it at once.
   void Publish(const std::string& config_toml);
@@ -233,7 +233,7 @@
   Call* CallOf(const RequestId& id);
   void Trace(const std::string& line);
 
-  WorldOptions options;
+  SimulationOptions options;
   Time clock;
   uint64_t next_order = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
@@ -267,4 +267,4 @@
 
 }  // namespace gullward
 
-#endif  // GULLWARD_TRIAL_WORLD_H_
+#endif  // GULLWARD_TRIAL_SIMULATION_H_
--- a/src/trial/testing/fault_matrix_test.cc
+++ b/src/trial/testing/fault_matrix_test.cc
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-#include "trial/world.h"
+#include "trial/simulation.h"
 
 namespace gullward {
 namespace {
@@ -145,55 +145,65 @@
 struct Fault {
   std::string name;
   // Strikes; `at` is the endpoint where the request is.
-  std::function<void(World* world, size_t at, size_t call)> strike;
+  std::function<void(Simulation* simulation, size_t at, size_t call)> strike;
 };
 
-bool HasEngine(World* world, size_t at) { return world->endpoint(at)->options().service.empty(); }
+bool HasEngine(Simulation* simulation, size_t at) {
+  return simulation->endpoint(at)->options().service.empty();
+}
 
 const std::vector<Fault>& Faults() {
   static const std::vector<Fault> faults = {
       {"engine_dies",
-       [](World* w, size_t at, size_t) {
-         if (HasEngine(w, at)) w->KillEngine(at, 0);
+       [](Simulation* simulation, size_t at, size_t) {
+         if (HasEngine(simulation, at)) simulation->KillEngine(at, 0);
        }},
       {"engine_freezes",
-       [](World* w, size_t at, size_t) {
-         if (HasEngine(w, at)) w->FreezeEngine(at, 0, seconds(8));
+       [](Simulation* simulation, size_t at, size_t) {
+         if (HasEngine(simulation, at)) simulation->FreezeEngine(at, 0, seconds(8));
        }},
       {"engine_cuts_stream",
-       [](World* w, size_t at, size_t) {
-         if (HasEngine(w, at)) w->CutStreams(at, 0);
+       [](Simulation* simulation, size_t at, size_t) {
+         if (HasEngine(simulation, at)) simulation->CutStreams(at, 0);
        }},
       {"engine_slow",
-       [](World* w, size_t at, size_t) {
-         if (HasEngine(w, at)) w->SlowEngine(at, 0, 20);
+       [](Simulation* simulation, size_t at, size_t) {
+         if (HasEngine(simulation, at)) simulation->SlowEngine(at, 0, 20);
        }},
       {"endpoint_dies",
-       [](World* w, size_t at, size_t) {
-         w->KillEndpoint(at);
-         w->At(w->now() + seconds(2), [w, at] { w->RestartEndpoint(at); });
+       [](Simulation* simulation, size_t at, size_t) {
+         simulation->KillEndpoint(at);
+         simulation->At(simulation->now() + seconds(2),
+                        [simulation, at] { simulation->RestartEndpoint(at); });
        }},
-      {"endpoint_paused", [](World* w, size_t at, size_t) { w->PauseEndpoint(at, seconds(6)); }},
-      {"entry_drains", [](World* w, size_t, size_t) { w->DrainEntry(0); }},
-      {"endpoint_drains", [](World* w, size_t at, size_t) { w->DrainEndpoint(at); }},
-      {"link_cut", [](World* w, size_t at, size_t) { w->CutLink(0, at); }},
-      {"link_silent", [](World* w, size_t at, size_t) { w->SilenceLink(0, at, seconds(8)); }},
+      {"endpoint_paused", [](Simulation* simulation, size_t at,
+                             size_t) { simulation->PauseEndpoint(at, seconds(6)); }},
+      {"entry_drains", [](Simulation* simulation, size_t, size_t) { simulation->DrainEntry(0); }},
+      {"endpoint_drains",
+       [](Simulation* simulation, size_t at, size_t) { simulation->DrainEndpoint(at); }},
+      {"link_cut", [](Simulation* simulation, size_t at, size_t) { simulation->CutLink(0, at); }},
+      {"link_silent", [](Simulation* simulation, size_t at,
+                         size_t) { simulation->SilenceLink(0, at, seconds(8)); }},
       {"entry_dies",
-       [](World* w, size_t, size_t) {
-         w->KillEntry(0);
-         w->At(w->now() + seconds(2), [w] { w->RestartEntry(0); });
+       [](Simulation* simulation, size_t, size_t) {
+         simulation->KillEntry(0);
+         simulation->At(simulation->now() + seconds(2),
+                        [simulation] { simulation->RestartEntry(0); });
        }},
-      {"entry_paused", [](World* w, size_t, size_t) { w->PauseEntry(0, milliseconds(4500)); }},
-      {"caller_leaves", [](World* w, size_t, size_t call) { w->CallerLeaves(call); }},
+      {"entry_paused", [](Simulation* simulation, size_t,
+                          size_t) { simulation->PauseEntry(0, milliseconds(4500)); }},
+      {"caller_leaves",
+       [](Simulation* simulation, size_t, size_t call) { simulation->CallerLeaves(call); }},
       {"log_down",
-       [](World* w, size_t, size_t) {
-         w->SetLogDown(true);
-         w->At(w->now() + seconds(8), [w] { w->SetLogDown(false); });
+       [](Simulation* simulation, size_t, size_t) {
+         simulation->SetLogDown(true);
+         simulation->At(simulation->now() + seconds(8),
+                        [simulation] { simulation->SetLogDown(false); });
        }},
       {"all_engines_die",
-       [](World* w, size_t, size_t) {
-         for (size_t i = 0; i < w->endpoints(); ++i) {
-           if (HasEngine(w, i)) w->KillEngine(i, 0);
+       [](Simulation* simulation, size_t, size_t) {
+         for (size_t i = 0; i < simulation->endpoints(); ++i) {
+           if (HasEngine(simulation, i)) simulation->KillEngine(i, 0);
          }
        }},
   };
@@ -213,15 +223,15 @@
 
 // Runs one cell; returns what was broken.
 std::vector<std::string> RunCell(const Kind& kind, Step step, const Fault& fault, char* outcome) {
-  WorldOptions options;
+  SimulationOptions options;
   options.entries = 2;
   options.endpoints = 5;
   options.services = 1;
   options.engine.memory_tokens = kEngineMemory;
   options.engine.speed = {5e-5, 1e-11};
-  World world(options);
-  world.Publish(BasicConfig());
-  world.RunFor(seconds(1));
+  Simulation simulation(options);
+  simulation.Publish(BasicConfig());
+  simulation.RunFor(seconds(1));
   Watcher watcher{step};
   size_t call = 0;
   bool struck = false;
@@ -230,15 +240,16 @@
     struck = true;
     size_t at = watcher.endpoint;
     // After the action under way, not inside it.
-    world.At(world.now(), [&world, &fault, at, call] { fault.strike(&world, at, call); });
+    simulation.At(simulation.now(),
+                  [&simulation, &fault, at, call] { fault.strike(&simulation, at, call); });
   };
-  world.on_entry_action = [&](const EntryAction& action) {
+  simulation.on_entry_action = [&](const EntryAction& action) {
     watcher.OnEntryAction(action);
     strike();
   };
   size_t acting = 0;
-  world.on_endpoint_action = [&](const EndpointAction& action) {
-    acting = world.acting_endpoint();
+  simulation.on_endpoint_action = [&](const EndpointAction& action) {
+    acting = simulation.acting_endpoint();
     watcher.OnEndpointAction(action, acting);
     strike();
   };
@@ -246,18 +257,18 @@
     // The service's box is the last; the others stand for themselves.
     watcher.endpoint = kind.name == "service" ? options.endpoints - 1 : 0;
     watcher.reached = true;
-    call = world.Submit(0, kind.make());
+    call = simulation.Submit(0, kind.make());
     struck = true;
     size_t at = watcher.endpoint;
-    fault.strike(&world, at, call);
+    fault.strike(&simulation, at, call);
   } else {
-    call = world.Submit(0, kind.make());
+    call = simulation.Submit(0, kind.make());
   }
   // Faults heal within ten seconds; the longest stated time is a minute.
-  world.RunFor(seconds(90));
-  std::vector<std::string> broken = world.CheckInvariants(/*quiet=*/true);
+  simulation.RunFor(seconds(90));
+  std::vector<std::string> broken = simulation.CheckInvariants(/*quiet=*/true);
   if (!struck && step != Step::kMidStream) broken.push_back("the step was never reached");
-  const Call& result = world.call(call);
+  const Call& result = simulation.call(call);
   *outcome = OutcomeOf(result);
   if (!result.ended) broken.push_back("the request never ended");
   bool calm_for_it = fault.name == "log_down" && kind.name != "keyed";
--- a/src/trial/testing/history_test.cc
+++ b/src/trial/testing/history_test.cc
@@ -14,7 +14,7 @@
 #include <random>
 #include <string>
 
-#include "trial/world.h"
+#include "trial/simulation.h"
 
 namespace gullward {
 namespace {
@@ -39,23 +39,23 @@
 
 class History {
  public:
-  History(uint64_t seed, bool trace) : random(seed), world(Options(seed)) {
+  History(uint64_t seed, bool trace) : random(seed), simulation(Options(seed)) {
     if (!trace) return;
-    this->world.SetTrace([](const std::string& line) { std::printf("%s\n", line.c_str()); });
+    this->simulation.SetTrace([](const std::string& line) { std::printf("%s\n", line.c_str()); });
   }
 
   std::vector<std::string> Run() {
-    this->world.Publish(BasicConfig());
-    this->world.RunFor(seconds(1));
+    this->simulation.Publish(BasicConfig());
+    this->simulation.RunFor(seconds(1));
     for (int i = 0; i < kRequests; ++i) this->Plan([this, i] { this->SubmitRandom(i); });
     for (int i = 0; i < kFaults; ++i) this->Plan([this] { this->StrikeRandom(); });
-    this->world.RunFor(kBusyTime + kHealingTime);
-    return this->world.CheckInvariants(/*quiet=*/true);
+    this->simulation.RunFor(kBusyTime + kHealingTime);
+    return this->simulation.CheckInvariants(/*quiet=*/true);
   }
 
  private:
-  static WorldOptions Options(uint64_t seed) {
-    WorldOptions options;
+  static SimulationOptions Options(uint64_t seed) {
+    SimulationOptions options;
     options.entries = 2;
     options.endpoints = 5;
     options.services = 1;
@@ -71,7 +71,7 @@
 
   void Plan(std::function<void()> task) {
     auto delay = Duration(static_cast<int64_t>(this->Pick(kBusyTime.count())));
-    this->world.At(this->world.now() + delay, std::move(task));
+    this->simulation.At(this->simulation.now() + delay, std::move(task));
   }
 
   void SubmitRandom(int index) {
@@ -90,8 +90,8 @@
     }
     input.repeatable = this->Pick(3) != 0;
     if (!input.repeatable && this->Pick(2) == 0) input.idempotency_key = 1 + this->Pick(5);
-    size_t call = this->world.Submit(this->Pick(2), input);
-    if (this->Pick(8) == 0) this->Plan([this, call] { this->world.CallerLeaves(call); });
+    size_t call = this->simulation.Submit(this->Pick(2), input);
+    if (this->Pick(8) == 0) this->Plan([this, call] { this->simulation.CallerLeaves(call); });
   }
 
   void StrikeRandom() {
@@ -100,49 +100,50 @@
     Duration while_long = milliseconds(500 + this->Pick(7000));
     switch (this->Pick(11)) {
       case 0:
-        this->world.KillEngine(at, 0);
+        this->simulation.KillEngine(at, 0);
         break;
       case 1:
-        this->world.FreezeEngine(at, 0, while_long);
+        this->simulation.FreezeEngine(at, 0, while_long);
         break;
       case 2:
-        this->world.CutStreams(at, 0);
+        this->simulation.CutStreams(at, 0);
         break;
       case 3:
-        this->world.SlowEngine(at, 0, 1 + static_cast<double>(this->Pick(20)));
+        this->simulation.SlowEngine(at, 0, 1 + static_cast<double>(this->Pick(20)));
         break;
       case 4:
-        if (this->world.endpoint(at) == nullptr) break;
-        this->world.KillEndpoint(at);
-        this->world.At(this->world.now() + while_long,
-                       [this, at] { this->world.RestartEndpoint(at); });
+        if (this->simulation.endpoint(at) == nullptr) break;
+        this->simulation.KillEndpoint(at);
+        this->simulation.At(this->simulation.now() + while_long,
+                            [this, at] { this->simulation.RestartEndpoint(at); });
         break;
       case 5:
-        this->world.PauseEndpoint(at, while_long);
+        this->simulation.PauseEndpoint(at, while_long);
         break;
       case 6:
-        if (this->world.endpoint(at) != nullptr) this->world.DrainEndpoint(at);
+        if (this->simulation.endpoint(at) != nullptr) this->simulation.DrainEndpoint(at);
         break;
       case 7:
-        this->world.CutLink(entry, at);
+        this->simulation.CutLink(entry, at);
         break;
       case 8:
-        this->world.SilenceLink(entry, at, while_long);
+        this->simulation.SilenceLink(entry, at, while_long);
         break;
       case 9:
-        if (this->world.entry(entry) == nullptr) break;
-        this->world.KillEntry(entry);
-        this->world.At(this->world.now() + while_long,
-                       [this, entry] { this->world.RestartEntry(entry); });
+        if (this->simulation.entry(entry) == nullptr) break;
+        this->simulation.KillEntry(entry);
+        this->simulation.At(this->simulation.now() + while_long,
+                            [this, entry] { this->simulation.RestartEntry(entry); });
         break;
       default:
-        this->world.SetLogDown(true);
-        this->world.At(this->world.now() + while_long, [this] { this->world.SetLogDown(false); });
+        this->simulation.SetLogDown(true);
+        this->simulation.At(this->simulation.now() + while_long,
+                            [this] { this->simulation.SetLogDown(false); });
     }
   }
 
   std::mt19937_64 random;
-  World world;
+  Simulation simulation;
 };
 
 BOOST_AUTO_TEST_CASE(PromisesHoldInRandomHistories) {
--- a/src/trial/testing/session_test.cc
+++ b/src/trial/testing/session_test.cc
@@ -11,18 +11,18 @@
 #include <functional>
 #include <sstream>
 
-#include "trial/world.h"
+#include "trial/simulation.h"
 
 namespace gullward {
 namespace {
 
 struct Session {
   std::string name;
-  std::function<void(World*)> run;
+  std::function<void(Simulation*)> run;
 };
 
-WorldOptions Options() {
-  WorldOptions options;
+SimulationOptions Options() {
+  SimulationOptions options;
   options.endpoints = 4;
   options.services = 1;
   options.engine.memory_tokens = 40'000;
@@ -38,44 +38,45 @@
 const std::vector<Session>& Sessions() {
   static const std::vector<Session> sessions = {
       {"short",
-       [](World* w) {
-         w->Submit(0, BasicRequest(500, 4, 1));
-         w->RunFor(seconds(2));
+       [](Simulation* simulation) {
+         simulation->Submit(0, BasicRequest(500, 4, 1));
+         simulation->RunFor(seconds(2));
        }},
       {"huge",
-       [](World* w) {
+       [](Simulation* simulation) {
          RequestInput input = BasicRequest(90'000, 3, 4);
          input.timeout = seconds(60);
-         w->Submit(0, input);
-         w->RunFor(seconds(30));
+         simulation->Submit(0, input);
+         simulation->RunFor(seconds(30));
        }},
       {"refused_overloaded",
-       [](World* w) {
+       [](Simulation* simulation) {
          RequestInput input = BasicRequest(30'000, 4, 3);
          input.timeout = milliseconds(500);
-         w->Submit(0, input);
-         w->RunFor(seconds(1));
+         simulation->Submit(0, input);
+         simulation->RunFor(seconds(1));
        }},
       {"service_call_twice_with_one_key",
-       [](World* w) {
-         w->Submit(0, KeyedServiceCall());
-         w->RunFor(seconds(1));
-         w->Submit(0, KeyedServiceCall());
-         w->RunFor(seconds(1));
+       [](Simulation* simulation) {
+         simulation->Submit(0, KeyedServiceCall());
+         simulation->RunFor(seconds(1));
+         simulation->Submit(0, KeyedServiceCall());
+         simulation->RunFor(seconds(1));
        }},
       {"engine_dies_mid_stream",
-       [](World* w) {
-         size_t call = w->Submit(0, BasicRequest(500, 6, 1));
-         w->RunUntilTrue([&] { return w->call(call).text.size() >= 10; }, seconds(5));
-         for (size_t i = 0; i < 3; ++i) w->CutStreams(i, 0);
-         w->RunFor(seconds(2));
+       [](Simulation* simulation) {
+         size_t call = simulation->Submit(0, BasicRequest(500, 6, 1));
+         simulation->RunUntilTrue([&] { return simulation->call(call).text.size() >= 10; },
+                                  seconds(5));
+         for (size_t i = 0; i < 3; ++i) simulation->CutStreams(i, 0);
+         simulation->RunFor(seconds(2));
        }},
       {"endpoint_drains_with_work_waiting",
-       [](World* w) {
-         for (uint64_t i = 0; i < 4; ++i) w->Submit(0, BasicRequest(25'000, 2, i));
-         w->RunFor(milliseconds(50));
-         for (size_t i = 0; i < 2; ++i) w->DrainEndpoint(i);
-         w->RunFor(seconds(8));
+       [](Simulation* simulation) {
+         for (uint64_t i = 0; i < 4; ++i) simulation->Submit(0, BasicRequest(25'000, 2, i));
+         simulation->RunFor(milliseconds(50));
+         for (size_t i = 0; i < 2; ++i) simulation->DrainEndpoint(i);
+         simulation->RunFor(seconds(8));
        }},
   };
   return sessions;
@@ -94,13 +95,13 @@
 
 BOOST_AUTO_TEST_CASE(SessionsRunAsTheGoldenFilesSay) {
   for (const Session& session : Sessions()) {
-    World world(Options());
-    world.Publish(BasicConfig());
-    world.RunFor(seconds(1));
+    Simulation simulation(Options());
+    simulation.Publish(BasicConfig());
+    simulation.RunFor(seconds(1));
     std::string lines;
-    world.SetTrace([&](const std::string& line) { lines += line + "\n"; });
-    session.run(&world);
-    BOOST_TEST(world.CheckInvariants(true).empty(), session.name);
+    simulation.SetTrace([&](const std::string& line) { lines += line + "\n"; });
+    session.run(&simulation);
+    BOOST_TEST(simulation.CheckInvariants(true).empty(), session.name);
     if (std::getenv("GULLWARD_UPDATE_GOLDEN") != nullptr) {
       std::ofstream(GoldenPath(session.name)) << lines;
     }
