--- a/src/trial/crash_trial.h
+++ b/src/trial/crash_trial.h
@@ -1,15 +1,16 @@
-// What requests that end engines cost a fleet, and how soon they are kept from it.
+// Simulates a fleet in which some requests crash the engines that run them, and measures how
+// many engines crash until these requests are in quarantine (serving/quarantine.h).
 //
-// Each gateway is a real SharedQuarantine; around it engines with slots, callers who come back
-// once, datagrams that take milliseconds and are lost now and then, and the store, which
-// remembers what is in quarantine.  Some contents end each engine that runs them; innocent
-// requests run beside them, and racks end for reasons of their own.  Gateways may be killed,
-// cut off or suspended meanwhile.
+// Each gateway is a real SharedQuarantine.  The simulation adds engines with slots, callers that
+// retry once, datagrams that take 1 to 5 ms and of which some are lost, and the store, which
+// keeps the contents in quarantine.  Some contents crash every engine that runs them.  Harmless
+// requests run beside them on the same engines, and racks of engines crash for other reasons.
+// Gateways may be killed, partitioned or suspended during the run.
 //
 //   CrashTrialResult result = PlayCrashes({.gateways = 103, .engines = 150});
-//   // result.most_sent_after: at most 3, by the users' bound
+//   // result.max_sent_after: at most 3, by the users' bound
 //
-// A run depends on its options only, not on the machine.
+// Runs are deterministic: the result depends on the options only.
 
 #ifndef GULLWARD_TRIAL_CRASH_TRIAL_H_
 #define GULLWARD_TRIAL_CRASH_TRIAL_H_
@@ -25,53 +26,59 @@
   size_t gateways = 5;
   size_t engines = 18;
   int slots = 16;
-  // Contents that end engines, and how often a second each of them comes.
-  size_t deadly = 1;
-  double deadly_per_s = 4;
-  // From the beginning of such a request's work until its engine ends.
-  Duration ends_after = milliseconds(60);
-  // Until an engine that has ended is back, as another.
-  Duration back_after = seconds(3);
-  // Other requests, all together, each of a content of its own.
-  double innocent_per_s = 40;
-  Duration innocent_work = milliseconds(1500);
-  // Of innocent requests, the share that is of one content, which comes again and again.
+  // Number of contents that crash engines, and requests per second with each of them.
+  size_t crashing_contents = 1;
+  double crashing_per_s = 4;
+  // Time from the start of such a request on an engine until the engine crashes.
+  Duration crash_after = milliseconds(60);
+  // Time until an engine that crashed is up again, as a new incarnation.
+  Duration restart_after = seconds(3);
+  // Rate of all harmless requests together, and the time that an engine needs for one.  Each has
+  // a content of its own, except for `hot_share`.
+  double harmless_per_s = 40;
+  Duration harmless_work = milliseconds(1500);
+  // Share of the harmless requests that have one common content.
   double hot_share = 0;
-  // Every so often a third of the engines ends at one moment; never where 0.
-  Duration rack_every{};
-  // Every so often each gateway in turn is killed, cut off, or suspended, for `trouble_for`.
-  Duration kill_every{};
-  // Every so often all of them are killed at the same moment.
-  Duration kill_all_every{};
-  Duration cut_every{};
-  Duration suspend_every{};
-  Duration trouble_for = seconds(2);
-  double datagrams_lost = 0.01;
-  Duration length = seconds(60);
-  // For how long a gateway must have been well for the users' bound to count what it sends.
-  Duration in_touch_after = seconds(3);
+  // Interval at which a third of the engines crashes at the same time.  Zero means never, here
+  // and for the other intervals.
+  Duration rack_crash_interval{};
+  // Intervals at which the next gateway in turn is killed, partitioned from peers and store, or
+  // suspended, for `fault_duration`.
+  Duration kill_interval{};
+  // Interval at which all gateways are killed at the same time.
+  Duration kill_all_interval{};
+  Duration partition_interval{};
+  Duration suspend_interval{};
+  Duration fault_duration = seconds(2);
+  double datagram_loss = 0.01;
+  Duration duration = seconds(60);
+  // The users' bound counts what a gateway sends only if the gateway has been healthy for this
+  // long.
+  Duration healthy_after = seconds(3);
   bool quarantine = true;
   uint64_t seed = 1;
 };
 
 struct CrashTrialResult {
-  // Engines that ended under deadly requests, the racks' not counted.
-  uint64_t engines_ended = 0;
-  // Of the content that fared worst: what gateways in touch sent to engines later than
-  // `in_touch_after` after it had ended its third engine.
-  uint64_t most_sent_after = 0;
-  uint64_t deadly_requests = 0;
-  uint64_t deadly_refused = 0;
-  uint64_t innocent_requests = 0;
-  uint64_t innocent_served = 0;
-  // Innocent requests turned away as if they ended engines.
-  uint64_t innocent_refused = 0;
-  // Innocent contents that any gateway had in quarantine at the end.
-  uint64_t innocent_quarantined = 0;
-  // From the third engine until the last gateway that runs has the content in quarantine, the
-  // longest, in milliseconds; 0 where it never was in all of them.
-  double known_to_all_ms = 0;
-  // Sent for the news, by one gateway, mean over all gateways and the whole length.
+  // Engines that crashing requests have crashed; rack crashes are not counted.
+  uint64_t engines_crashed = 0;
+  // Requests that healthy gateways sent to engines later than `healthy_after` after the content
+  // had crashed its third engine; the maximum over all crashing contents.
+  uint64_t max_sent_after = 0;
+  uint64_t crashing_requests = 0;
+  uint64_t crashing_refused = 0;
+  uint64_t harmless_requests = 0;
+  uint64_t harmless_served = 0;
+  // Harmless requests that were refused as crashing.
+  uint64_t harmless_refused = 0;
+  // Harmless contents that at least one gateway had in quarantine at the end.
+  uint64_t harmless_quarantined = 0;
+  // Time from the third crash of a content until every healthy gateway has the content in
+  // quarantine, in milliseconds; the maximum over all contents.  0 if no content was in
+  // quarantine at all of them.
+  double quarantined_everywhere_ms = 0;
+  // Datagrams and bytes of crash gossip that one gateway sent in the whole run; the mean over
+  // all gateways.
   double datagrams_per_gateway = 0;
   double bytes_per_gateway = 0;
 
--- a/src/trial/event_queue.h
+++ b/src/trial/event_queue.h
@@ -1,11 +1,11 @@
-// Simulated time: what happens next, in the order of its moment.
+// Simulated time: a queue that runs tasks in the order of their scheduled time.
 //
 //   EventQueue events(start);
 //   events.After(milliseconds(30), [&] { ... });
 //   events.RunUntil(start + seconds(6));
 //
-// Events of one moment happen in the order in which they were made, so a run depends on
-// nothing but what is put in.
+// Tasks scheduled for the same time run in the order in which they were added, so a run is
+// deterministic.
 
 #ifndef GULLWARD_TRIAL_EVENT_QUEUE_H_
 #define GULLWARD_TRIAL_EVENT_QUEUE_H_
@@ -27,11 +27,11 @@
 
   Time now() const { return this->current; }
 
-  void At(Time at, std::function<void()> happen) {
-    this->events.push({at, this->count++, std::move(happen)});
+  void At(Time at, std::function<void()> task) {
+    this->events.push({at, this->count++, std::move(task)});
   }
-  void After(Duration pause, std::function<void()> happen) {
-    this->At(this->current + pause, std::move(happen));
+  void After(Duration delay, std::function<void()> task) {
+    this->At(this->current + delay, std::move(task));
   }
 
   void RunUntil(Time end) {
@@ -39,7 +39,7 @@
       Event event = this->events.top();
       this->events.pop();
       this->current = event.at;
-      event.happen();
+      event.task();
     }
   }
 
@@ -47,7 +47,7 @@
   struct Event {
     Time at;
     uint64_t number = 0;
-    std::function<void()> happen;
+    std::function<void()> task;
 
     bool operator<(const Event& other) const {
       return std::tie(other.at, other.number) < std::tie(this->at, this->number);
--- a/src/trial/fleet_tables.cc
+++ b/src/trial/fleet_tables.cc
@@ -1,4 +1,4 @@
-// fleet_tables.h tells what each is.
+// Conditions of the trials and the printing of their tables.
 
 #include "trial/fleet_tables.h"
 
@@ -19,8 +19,8 @@
   CrashTrialOptions calm;
   calm.gateways = gateways;
   calm.engines = engines;
-  // Three slots of an engine's sixteen are taken on the mean.
-  calm.innocent_per_s = 2.0 * static_cast<double>(engines);
+  // Occupies three of an engine's sixteen slots on average.
+  calm.harmless_per_s = 2.0 * static_cast<double>(engines);
   return calm;
 }
 
@@ -34,7 +34,8 @@
   for (const std::string& part : parts) {
     size_t gateways = 0;
     if (!absl::SimpleAtoi(part, &gateways) || gateways == 0) {
-      std::fprintf(stderr, "--%s: \"%s\" is no number of gateways\n", flag.c_str(), part.c_str());
+      std::fprintf(stderr, "--%s: \"%s\" is not a positive number of gateways\n", flag.c_str(),
+                   part.c_str());
       return std::nullopt;
     }
     sizes.push_back(gateways);
@@ -57,7 +58,7 @@
       ScaleResult result = PlayScale(trial);
       std::printf("| %zu | %s | %lu | %.1f | %.0f | %.1f | %zu | %.2f | %.4f |\n", gateways,
                   cells ? "yes" : "no", Printable(result.requests), result.candidates,
-                  result.datagrams_per_s, result.bytes_per_s / 1000, result.words_kept,
+                  result.datagrams_per_s, result.bytes_per_s / 1000, result.peer_loads_kept,
                   result.busiest_to_mean, result.found_full);
     }
   }
@@ -66,28 +67,28 @@
 std::vector<CrashCondition> CrashConditions(size_t gateways, size_t engines) {
   CrashTrialOptions calm = Calm(gateways, engines);
   CrashTrialOptions seldom = calm;
-  seldom.deadly_per_s = 0.4;
+  seldom.crashing_per_s = 0.4;
   CrashTrialOptions often = calm;
-  often.deadly_per_s = 20;
+  often.crashing_per_s = 20;
   CrashTrialOptions several = calm;
-  several.deadly = 4;
+  several.crashing_contents = 4;
   CrashTrialOptions many = calm;
-  many.deadly = 40;
-  many.deadly_per_s = 0.5;
+  many.crashing_contents = 40;
+  many.crashing_per_s = 0.5;
   CrashTrialOptions killed = calm;
-  killed.kill_every = seconds(2);
+  killed.kill_interval = seconds(2);
   CrashTrialOptions all_killed = calm;
-  all_killed.kill_all_every = seconds(8);
+  all_killed.kill_all_interval = seconds(8);
   CrashTrialOptions all_killed_seldom = seldom;
-  all_killed_seldom.kill_all_every = seconds(8);
+  all_killed_seldom.kill_all_interval = seconds(8);
   CrashTrialOptions cut = calm;
-  cut.cut_every = seconds(2);
+  cut.partition_interval = seconds(2);
   CrashTrialOptions suspended = calm;
-  suspended.suspend_every = seconds(2);
+  suspended.suspend_interval = seconds(2);
   CrashTrialOptions racks = calm;
-  racks.rack_every = seconds(7);
+  racks.rack_crash_interval = seconds(7);
   CrashTrialOptions racks_alone = racks;
-  racks_alone.deadly = 0;
+  racks_alone.crashing_contents = 0;
   racks_alone.hot_share = 0.3;
   CrashTrialOptions hot = calm;
   hot.hot_share = 0.3;
@@ -121,20 +122,20 @@
   LimitTrialOptions busy = all_limited;
   busy.requests_per_s = 40;
   LimitTrialOptions killed = busy;
-  killed.kill_every = seconds(2);
+  killed.kill_interval = seconds(2);
   LimitTrialOptions all_killed = busy;
-  all_killed.kill_all_every = seconds(12);
+  all_killed.kill_all_interval = seconds(12);
   LimitTrialOptions cut = busy;
-  cut.cut_every = seconds(2);
+  cut.partition_interval = seconds(2);
   LimitTrialOptions long_cut = busy;
-  long_cut.cut_every = seconds(4);
-  long_cut.trouble_for = seconds(9);
+  long_cut.partition_interval = seconds(4);
+  long_cut.fault_duration = seconds(9);
   LimitTrialOptions suspended = busy;
-  suspended.suspend_every = seconds(2);
+  suspended.suspend_interval = seconds(2);
   LimitTrialOptions added = busy;
   added.added = gateways / 2;
   LimitTrialOptions lossy = busy;
-  lossy.datagrams_lost = 0.3;
+  lossy.datagram_loss = 0.3;
   return {{"calm", calm},
           {"low limit", low},
           {"limit of zero", none},
@@ -165,7 +166,7 @@
         LimitTrialResult result = PlayLimits(trial);
         std::printf("| %zu | %zu | %s | %s | %lu | %lu | %.2f | %.2f | %.0f | %.1f | %.0f |\n",
                     gateways, engines, condition.name, followed ? "yes" : "no",
-                    Printable(result.requests), Printable(result.refused), result.most_of_allowed,
+                    Printable(result.requests), Printable(result.refused), result.max_of_allowed,
                     result.limit_used, result.lifted_after_ms, result.datagrams_per_s,
                     result.bytes_per_s);
         std::fflush(stdout);
@@ -191,10 +192,10 @@
             "| %zu | %zu | %s | %s | %lu | %lu | %lu | %.0f | %lu | %lu | %lu | %lu | %.0f "
             "| %.1f |\n",
             gateways, engines, condition.name, quarantine ? "yes" : "no",
-            Printable(result.deadly_requests), Printable(result.engines_ended),
-            Printable(result.most_sent_after), result.known_to_all_ms,
-            Printable(result.innocent_requests), Printable(result.innocent_served),
-            Printable(result.innocent_refused), Printable(result.innocent_quarantined),
+            Printable(result.crashing_requests), Printable(result.engines_crashed),
+            Printable(result.max_sent_after), result.quarantined_everywhere_ms,
+            Printable(result.harmless_requests), Printable(result.harmless_served),
+            Printable(result.harmless_refused), Printable(result.harmless_quarantined),
             result.datagrams_per_gateway, result.bytes_per_gateway / 1000);
       }
     }
--- a/src/trial/fleet_tables.h
+++ b/src/trial/fleet_tables.h
@@ -1,5 +1,5 @@
-// The tables that `gullward-trial --scale`, `--crashing` and `--limited` print: one row or more
-// for each size of a fleet.
+// The tables that `gullward-trial --scale`, `--crashing` and `--limited` print, with one or more
+// rows for each fleet size.
 
 #ifndef GULLWARD_TRIAL_FLEET_TABLES_H_
 #define GULLWARD_TRIAL_FLEET_TABLES_H_
@@ -15,8 +15,8 @@
 
 namespace gullward {
 
-// Reads "30,100,300"; nothing, and a line on standard error, if a part is no number of
-// gateways.
+// Parses a list of gateway counts such as "30,100,300", the value of --`flag`.  If a part is not
+// a positive number, prints an error to standard error and returns nullopt.
 std::optional<std::vector<size_t>> ReadSizes(const std::string& flag, const std::string& text);
 
 struct TableOptions {
@@ -25,29 +25,31 @@
   uint64_t seed = 1;
 };
 
-// Undivided and in cells.
+// Prints the results of PlayScale, for each size once without and once with cells.
 void PrintScaleTable(const TableOptions& options);
 
-// What befalls a fleet in which requests end engines.
+// A named set of faults and loads for a fleet in which requests crash engines.
 struct CrashCondition {
   const char* name;
   CrashTrialOptions options;
 };
 
-// Every condition that the table and the test play, for a fleet of that size.
+// All conditions that the table and the test run, for a fleet of this size.
 std::vector<CrashCondition> CrashConditions(size_t gateways, size_t engines);
 
+// Prints the results of PlayCrashes, for each condition without and with the quarantine.
 void PrintCrashTable(const TableOptions& options);
 
-// What befalls a fleet with engines in need.
+// A named set of faults and loads for a fleet with engines that state a limit.
 struct LimitCondition {
   const char* name;
   LimitTrialOptions options;
 };
 
-// Every condition that the table and the test play, for a fleet of that size.
+// All conditions that the table and the test run, for a fleet of this size.
 std::vector<LimitCondition> LimitConditions(size_t gateways, size_t engines);
 
+// Prints the results of PlayLimits, for each condition without and with engine notices.
 void PrintLimitTable(const TableOptions& options);
 
 }  // namespace gullward
--- a/src/trial/limit_trial.cc
+++ b/src/trial/limit_trial.cc
@@ -1,4 +1,4 @@
-// Engines, callers, datagrams and trouble around real fleets.
+// Simulates engines, callers, datagrams and faults around real Fleets.
 
 #include "trial/limit_trial.h"
 
@@ -23,18 +23,21 @@
 
 constexpr char kService[] = "models";
 const Time kStart = Time{} + seconds(1000);
-// As in gateway/load_exchange.h: how often changes are told, and everything.
+// As in gateway/load_exchange.h: the period at which changes are sent, the ticks in a round, and
+// the rounds after which all notices are sent.
 constexpr Duration kTick = milliseconds(100);
 constexpr int kTicksInRound = 5;
 constexpr int kNoticeRounds = 4;
-// Until a gateway that starts has read who the others are, and they who it is.
-constexpr Duration kKnowsOthersAfter = milliseconds(300);
-constexpr Duration kKnownAfter = seconds(2);
-// The users' bound: from so long after an engine named its limit, in any such time; a gateway
-// counts as told from so long after it has passed on an answer.
-constexpr Duration kBoundFrom = seconds(3);
+// Time until a gateway that starts has read the entries of its peers, and longest time until a
+// peer has read the new gateway's entry.
+constexpr Duration kPeersReadDelay = milliseconds(300);
+constexpr Duration kMaxAnnounceDelay = seconds(2);
+// The users' bound applies from kBoundAppliesAfter after an engine first stated its limit, to every
+// window of kWindow.  It covers a gateway from kLimitKnownAfter after the gateway has forwarded
+// an answer that states the limit.
+constexpr Duration kBoundAppliesAfter = seconds(3);
 constexpr Duration kWindow = seconds(4);
-constexpr Duration kToldAfter = milliseconds(500);
+constexpr Duration kLimitKnownAfter = milliseconds(500);
 
 double Allowed(double limit_per_s) { return 1.5 * limit_per_s * ToSeconds(kWindow) + 5; }
 
@@ -44,19 +47,19 @@
   std::unique_ptr<Fleet> fleet;
   PeerDirectory peers;
   PeerLiveness liveness;
-  // Since the fleet was last told of them.
+  // Whether `peers` has changed since it was last passed to `fleet`.
   bool peers_changed = false;
   int ticks = 0;
-  // Rises with each start; what was begun in an earlier life comes to nothing.
-  uint64_t life = 0;
+  // Incremented at each start and kill.  Work that an earlier incarnation began is dropped.
+  uint64_t incarnation = 0;
   bool is_up = false;
-  bool is_cut = false;
+  bool is_partitioned = false;
   bool is_suspended = false;
-  Time trouble_ended{};
-  // Datagrams that came while it was suspended.
-  std::vector<LoadDigest> waiting;
-  // By engine, when this life first passed on an answer that named the limit.
-  std::map<size_t, Time> told_at;
+  Time fault_ended{};
+  // Datagrams that arrived while the gateway was suspended.
+  std::vector<LoadDigest> queued;
+  // For each engine, when this incarnation first forwarded an answer that stated the limit.
+  std::map<size_t, Time> limit_known_since;
 };
 
 struct Arrival {
@@ -79,59 +82,61 @@
     for (size_t i = 0; i < this->options.gateways; ++i) {
       this->gateways.push_back(std::make_unique<Gateway>());
       this->gateways.back()->box = absl::StrCat("box-", i);
-      this->gateways.back()->data_centre = this->Hall(i);
+      this->gateways.back()->data_centre = this->DataCentreOf(i);
     }
   }
 
   LimitTrialResult Play() {
-    size_t at_once = this->options.gateways - this->options.added;
+    size_t listed_count = this->options.gateways - this->options.added;
     for (size_t i = 0; i < this->gateways.size(); ++i) {
-      if (i < at_once) {
-        this->StartWithOthers(i);
+      if (i < listed_count) {
+        this->StartListed(i);
       } else {
-        this->events.At(kStart + this->options.need_from + seconds(2), [this, i] {
+        this->events.At(kStart + this->options.limited_from + seconds(2), [this, i] {
           this->Start(i);
           this->Announce(i);
         });
       }
-      this->ArriveNext(i);
-      this->TickNext(i);
+      this->ScheduleArrival(i);
+      this->ScheduleTick(i);
     }
-    this->Repeat(this->options.kill_every, [this] { this->Kill(this->NextInTrouble()); });
-    this->Repeat(this->options.kill_all_every, [this] {
+    this->Repeat(this->options.kill_interval, [this] { this->Kill(this->NextFaultTarget()); });
+    this->Repeat(this->options.kill_all_interval, [this] {
       for (size_t i = 0; i < this->gateways.size(); ++i) this->Kill(i);
     });
-    this->Repeat(this->options.cut_every, [this] { this->CutOff(this->NextInTrouble()); });
-    this->Repeat(this->options.suspend_every, [this] { this->Suspend(this->NextInTrouble()); });
-    this->events.RunUntil(kStart + this->options.length);
+    this->Repeat(this->options.partition_interval,
+                 [this] { this->Partition(this->NextFaultTarget()); });
+    this->Repeat(this->options.suspend_interval,
+                 [this] { this->Suspend(this->NextFaultTarget()); });
+    this->events.RunUntil(kStart + this->options.duration);
     return this->Result();
   }
 
  private:
   Time now() const { return this->events.now(); }
-  std::string Hall(size_t number) const {
+  std::string DataCentreOf(size_t number) const {
     return absl::StrCat("hall-", number % this->options.data_centres);
   }
   static std::string EngineName(size_t engine) { return absl::StrCat("e-", engine); }
 
-  double Draw() { return std::uniform_real_distribution<double>(0, 1)(this->random); }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(this->random); }
 
-  bool InNeed(size_t engine) const {
-    return engine < this->limited && this->now() >= kStart + this->options.need_from &&
-           this->now() < kStart + this->options.need_to;
+  bool IsLimited(size_t engine) const {
+    return engine < this->limited && this->now() >= kStart + this->options.limited_from &&
+           this->now() < kStart + this->options.limited_until;
   }
 
-  void Repeat(Duration every, const std::function<void()>& happen) {
-    if (every.count() == 0) return;
-    this->events.After(every, [this, every, happen] {
-      happen();
-      this->Repeat(every, happen);
+  void Repeat(Duration interval, const std::function<void()>& task) {
+    if (interval.count() == 0) return;
+    this->events.After(interval, [this, interval, task] {
+      task();
+      this->Repeat(interval, task);
     });
   }
 
   // ------------------------------------------------------------ gateways
 
-  // A new life that knows the engines and nothing else.
+  // Starts a new incarnation, which has the list of engines and no other state.
   void Start(size_t number) {
     Gateway& gateway = *this->gateways[number];
     Mechanisms mechanisms;
@@ -140,32 +145,32 @@
         std::make_unique<Fleet>(RetryBounds{}, gateway.box, gateway.data_centre, mechanisms);
     for (size_t i = 0; i < this->options.engines; ++i) {
       gateway.fleet->directory().Update(
-          {EngineName(i), kService, {"10.0.0.1", 80}, this->Hall(i), 16, false, 0});
+          {EngineName(i), kService, {"10.0.0.1", 80}, this->DataCentreOf(i), 16, false, 0});
     }
     gateway.peers = PeerDirectory{};
     gateway.peers_changed = false;
     gateway.liveness = PeerLiveness{};
-    gateway.waiting.clear();
-    // A restart excuses the machine until it is told again.
-    gateway.told_at.clear();
-    gateway.life += 1;
+    gateway.queued.clear();
+    // A restarted gateway is not counted against the bound until it receives the limit again.
+    gateway.limit_known_since.clear();
+    gateway.incarnation += 1;
     gateway.is_up = true;
-    this->events.After(kKnowsOthersAfter, [this, number, life = gateway.life] {
-      if (this->gateways[number]->life == life) this->ReadOthers(number);
+    this->events.After(kPeersReadDelay, [this, number, incarnation = gateway.incarnation] {
+      if (this->gateways[number]->incarnation == incarnation) this->ReadPeers(number);
     });
   }
 
-  void StartWithOthers(size_t number) {
+  void StartListed(size_t number) {
     this->Start(number);
-    this->known.insert(number);
+    this->listed.insert(number);
   }
 
-  void ReadOthers(size_t number) {
-    for (size_t other : this->known) this->ReadOther(number, other);
+  void ReadPeers(size_t number) {
+    for (size_t other : this->listed) this->ReadPeer(number, other);
     this->gateways[number]->peers_changed = true;
   }
 
-  void ReadOther(size_t number, size_t other) {
+  void ReadPeer(size_t number, size_t other) {
     Gateway& gateway = *this->gateways[number];
     const Gateway& peer = *this->gateways[other];
     if (other == number || !gateway.is_up) return;
@@ -173,23 +178,23 @@
     gateway.peers_changed = true;
   }
 
-  // The others read of it at moments of their own.
+  // The peers read the entry of the new gateway after random delays.
   void Announce(size_t number) {
-    this->known.insert(number);
+    this->listed.insert(number);
     for (size_t i = 0; i < this->gateways.size(); ++i) {
       if (i == number) continue;
-      this->events.After(FromSeconds(this->Draw() * ToSeconds(kKnownAfter)),
-                         [this, i, number] { this->ReadOther(i, number); });
+      this->events.After(FromSeconds(this->RandomFraction() * ToSeconds(kMaxAnnounceDelay)),
+                         [this, i, number] { this->ReadPeer(i, number); });
     }
   }
 
-  size_t NextInTrouble() { return this->in_trouble++ % this->gateways.size(); }
+  size_t NextFaultTarget() { return this->next_fault_target++ % this->gateways.size(); }
 
-  void EndTrouble(size_t number, const std::function<void(Gateway*)>& mend) {
-    this->events.After(this->options.trouble_for, [this, number, mend] {
+  void EndFaultLater(size_t number, const std::function<void(Gateway*)>& repair) {
+    this->events.After(this->options.fault_duration, [this, number, repair] {
       Gateway& gateway = *this->gateways[number];
-      mend(&gateway);
-      gateway.trouble_ended = this->now();
+      repair(&gateway);
+      gateway.fault_ended = this->now();
     });
   }
 
@@ -197,35 +202,35 @@
     Gateway& gateway = *this->gateways[number];
     if (!gateway.is_up) return;
     gateway.is_up = false;
-    gateway.life += 1;
-    this->EndTrouble(number, [this, number](Gateway*) { this->Start(number); });
+    gateway.incarnation += 1;
+    this->EndFaultLater(number, [this, number](Gateway*) { this->Start(number); });
   }
 
-  void CutOff(size_t number) {
-    this->gateways[number]->is_cut = true;
-    this->EndTrouble(number, [](Gateway* gateway) { gateway->is_cut = false; });
+  void Partition(size_t number) {
+    this->gateways[number]->is_partitioned = true;
+    this->EndFaultLater(number, [](Gateway* gateway) { gateway->is_partitioned = false; });
   }
 
   void Suspend(size_t number) {
     this->gateways[number]->is_suspended = true;
-    this->EndTrouble(number, [](Gateway* gateway) { gateway->is_suspended = false; });
+    this->EndFaultLater(number, [](Gateway* gateway) { gateway->is_suspended = false; });
   }
 
-  bool IsExcused(const Gateway& gateway) const {
-    bool is_in_trouble = !gateway.is_up || gateway.is_cut || gateway.is_suspended;
-    bool was_lately = gateway.trouble_ended != Time{} &&
-                      this->now() - gateway.trouble_ended < this->options.excused_for;
-    return is_in_trouble || was_lately;
+  bool IsExcluded(const Gateway& gateway) const {
+    bool has_fault = !gateway.is_up || gateway.is_partitioned || gateway.is_suspended;
+    bool was_in_fault_lately = gateway.fault_ended != Time{} &&
+                               this->now() - gateway.fault_ended < this->options.excluded_for;
+    return has_fault || was_in_fault_lately;
   }
 
   // ------------------------------------------------------------ requests
 
-  void ArriveNext(size_t number) {
-    std::exponential_distribution<double> pause(this->options.requests_per_s);
-    this->events.After(FromSeconds(pause(this->random)), [this, number] {
+  void ScheduleArrival(size_t number) {
+    std::exponential_distribution<double> delay(this->options.requests_per_s);
+    this->events.After(FromSeconds(delay(this->random)), [this, number] {
       Gateway& gateway = *this->gateways[number];
       if (gateway.is_up && !gateway.is_suspended) this->Send(number);
-      this->ArriveNext(number);
+      this->ScheduleArrival(number);
     });
   }
 
@@ -250,46 +255,47 @@
     gateway.fleet->loads().Begin(work, {part}, this->now());
     EngineNotice notice;
     notice.is_own_success = true;
-    if (this->InNeed(engine)) notice.limit_per_s = this->options.limit_per_s;
+    if (this->IsLimited(engine)) notice.limit_per_s = this->options.limit_per_s;
     this->events.After(this->options.work, [this, number, engine, work, notice, sent = this->now(),
-                                            life = gateway.life] {
-      this->OnAnswer(number, life, engine, work, notice, sent);
+                                            incarnation = gateway.incarnation] {
+      this->OnAnswer(number, incarnation, engine, work, notice, sent);
     });
   }
 
-  void OnAnswer(size_t number, uint64_t life, size_t engine, uint64_t work,
+  void OnAnswer(size_t number, uint64_t incarnation, size_t engine, uint64_t work,
                 const EngineNotice& notice, Time sent) {
     Gateway& gateway = *this->gateways[number];
-    if (gateway.life != life || !gateway.is_up) return;
+    if (gateway.incarnation != incarnation || !gateway.is_up) return;
     gateway.fleet->loads().End(work);
     gateway.fleet->notices().Receive(EngineName(engine), notice, sent, this->now());
-    if (notice.limit_per_s) gateway.told_at.try_emplace(engine, this->now());
+    if (notice.limit_per_s) gateway.limit_known_since.try_emplace(engine, this->now());
   }
 
   void NoteArrival(size_t number, size_t engine) {
-    if (!this->InNeed(engine)) return;
-    if (this->now() < kStart + this->options.need_from + kBoundFrom) return;
-    this->reached_limited += 1;
+    if (!this->IsLimited(engine)) return;
+    if (this->now() < kStart + this->options.limited_from + kBoundAppliesAfter) return;
+    this->limited_arrivals += 1;
     const Gateway& gateway = *this->gateways[number];
-    auto told = gateway.told_at.find(engine);
-    bool counts = told != gateway.told_at.end() && this->now() - told->second >= kToldAfter;
-    if (counts && !this->IsExcused(gateway)) this->arrivals[engine].push_back(this->now());
+    auto known_since = gateway.limit_known_since.find(engine);
+    bool counts = known_since != gateway.limit_known_since.end() &&
+                  this->now() - known_since->second >= kLimitKnownAfter;
+    if (counts && !this->IsExcluded(gateway)) this->arrivals[engine].push_back(this->now());
   }
 
   // ----------------------------------------------------------- datagrams
 
-  void TickNext(size_t number) {
+  void ScheduleTick(size_t number) {
     std::uniform_real_distribution<double> jitter(0.9, 1.1);
     this->events.After(FromSeconds(ToSeconds(kTick) * jitter(this->random)), [this, number] {
       Gateway& gateway = *this->gateways[number];
       if (gateway.is_up && !gateway.is_suspended) this->Tick(&gateway);
-      this->TickNext(number);
+      this->ScheduleTick(number);
     });
   }
 
   void Tick(Gateway* gateway) {
-    for (const LoadDigest& digest : std::exchange(gateway->waiting, {})) {
-      this->Hear(gateway, digest);
+    for (const LoadDigest& digest : std::exchange(gateway->queued, {})) {
+      this->Receive(gateway, digest);
     }
     if (std::exchange(gateway->peers_changed, false)) {
       gateway->fleet->SetGateways(gateway->peers.Names());
@@ -309,10 +315,10 @@
     gateway->peers.BeginRound();
     gateway->fleet->ForgetUnlisted(this->now());
     const WorkPlan& plan = gateway->fleet->plan(this->now());
-    const ServicePlan& mine = plan.ForService(kService);
+    const ServicePlan& own_plan = plan.ForService(kService);
     std::vector<std::string> boxes;
     for (const Peer* peer :
-         gateway->peers.MembersOf(kService, mine.cells, mine.home, plan.revision())) {
+         gateway->peers.MembersOf(kService, own_plan.cells, own_plan.home, plan.revision())) {
       boxes.push_back(peer->box);
     }
     gateway->fleet->SetSilentGateways(gateway->liveness.SilentPeers(boxes, this->now()));
@@ -320,12 +326,12 @@
 
   void SendToCell(Gateway* gateway, const LoadDigest& digest) {
     const WorkPlan& plan = gateway->fleet->plan(this->now());
-    const ServicePlan& mine = plan.ForService(kService);
+    const ServicePlan& own_plan = plan.ForService(kService);
     std::vector<const Peer*> members =
-        gateway->peers.MembersForRound(kService, mine.cells, mine.home, plan.revision());
-    bool in_need = this->now() >= kStart + this->options.need_from &&
-                   this->now() < kStart + this->options.need_to;
-    if (in_need && !digest.notices.empty()) {
+        gateway->peers.MembersForRound(kService, own_plan.cells, own_plan.home, plan.revision());
+    bool in_force = this->now() >= kStart + this->options.limited_from &&
+                    this->now() < kStart + this->options.limited_until;
+    if (in_force && !digest.notices.empty()) {
       LoadDigest without = digest;
       without.notices.clear();
       this->datagrams += members.size();
@@ -333,26 +339,26 @@
     }
     std::vector<size_t> receivers;
     for (const Peer* peer : members) {
-      if (this->Draw() >= this->options.datagrams_lost) {
+      if (this->RandomFraction() >= this->options.datagram_loss) {
         receivers.push_back(std::stoul(peer->box.substr(4)));
       }
     }
-    if (gateway->is_cut) return;
-    this->events.After(this->options.told_after, [this, digest, receivers] {
+    if (gateway->is_partitioned) return;
+    this->events.After(this->options.datagram_delay, [this, digest, receivers] {
       for (size_t number : receivers) this->Deliver(this->gateways[number].get(), digest);
     });
   }
 
   void Deliver(Gateway* gateway, const LoadDigest& digest) {
-    if (!gateway->is_up || gateway->is_cut) return;
+    if (!gateway->is_up || gateway->is_partitioned) return;
     if (gateway->is_suspended) {
-      gateway->waiting.push_back(digest);
+      gateway->queued.push_back(digest);
       return;
     }
-    this->Hear(gateway, digest);
+    this->Receive(gateway, digest);
   }
 
-  void Hear(Gateway* gateway, const LoadDigest& digest) {
+  void Receive(Gateway* gateway, const LoadDigest& digest) {
     gateway->liveness.OnDatagram(digest.box, this->now());
     for (const auto& [engine, word] : digest.notices) {
       gateway->fleet->notices().ReceiveReport(engine, word, this->now());
@@ -362,30 +368,31 @@
   // --------------------------------------------------------------- result
 
   void NoteLifted(const Gateway& gateway) {
-    if (this->now() < kStart + this->options.need_to) return;
-    if (gateway.fleet->notices().limited() > 0) this->last_believed = this->now();
+    if (this->now() < kStart + this->options.limited_until) return;
+    if (gateway.fleet->notices().limited() > 0) this->last_limited_at = this->now();
   }
 
-  double MostOfAllowed() const {
-    size_t most = 0;
+  double MaxOfAllowed() const {
+    size_t max_count = 0;
     for (const std::vector<Time>& times : this->arrivals) {
       size_t end = 0;
       for (size_t begin = 0; begin < times.size(); ++begin) {
         while (end < times.size() && times[end] - times[begin] < kWindow) ++end;
-        most = std::max(most, end - begin);
+        max_count = std::max(max_count, end - begin);
       }
     }
-    return static_cast<double>(most) / Allowed(this->options.limit_per_s);
+    return static_cast<double>(max_count) / Allowed(this->options.limit_per_s);
   }
 
   LimitTrialResult Result() {
-    Duration bound_for = this->options.need_to - this->options.need_from - kBoundFrom;
-    double ready_to_take =
-        static_cast<double>(this->limited) * this->options.limit_per_s * ToSeconds(bound_for);
-    this->result.most_of_allowed = this->MostOfAllowed();
-    this->result.limit_used = static_cast<double>(this->reached_limited) / ready_to_take;
+    Duration bound_duration =
+        this->options.limited_until - this->options.limited_from - kBoundAppliesAfter;
+    double allowed_requests =
+        static_cast<double>(this->limited) * this->options.limit_per_s * ToSeconds(bound_duration);
+    this->result.max_of_allowed = this->MaxOfAllowed();
+    this->result.limit_used = static_cast<double>(this->limited_arrivals) / allowed_requests;
     double gateway_seconds = static_cast<double>(this->gateways.size()) *
-                             ToSeconds(this->options.need_to - this->options.need_from);
+                             ToSeconds(this->options.limited_until - this->options.limited_from);
     this->result.datagrams_per_s = static_cast<double>(this->datagrams) / gateway_seconds;
     this->result.bytes_per_s = static_cast<double>(this->bytes) / gateway_seconds;
     this->result.lifted_after_ms = this->LiftedAfterMs();
@@ -396,8 +403,8 @@
     for (const auto& gateway : this->gateways) {
       if (gateway->is_up && gateway->fleet->notices().limited() > 0) return -1;
     }
-    Time lifted = kStart + this->options.need_to;
-    return ToSeconds(std::max(this->last_believed, lifted) - lifted) * 1000;
+    Time lifted = kStart + this->options.limited_until;
+    return ToSeconds(std::max(this->last_limited_at, lifted) - lifted) * 1000;
   }
 
   LimitTrialOptions options;
@@ -405,18 +412,18 @@
   EventQueue events;
   Service service;
   std::vector<std::unique_ptr<Gateway>> gateways;
-  // Those whose entry stands in the topic of gateways.
-  std::set<size_t> known;
-  // How many engines, the first ones, name a limit.
+  // Gateways with an entry in the topic of gateways.
+  std::set<size_t> listed;
+  // The number of engines that state a limit: the first ones by index.
   size_t limited = 0;
   uint64_t work_count = 0;
-  size_t in_trouble = 0;
-  // By engine: arrivals that the users' bound counts.
+  size_t next_fault_target = 0;
+  // For each engine, the arrivals that count for the users' bound.
   std::vector<std::vector<Time>> arrivals;
-  uint64_t reached_limited = 0;
+  uint64_t limited_arrivals = 0;
   size_t datagrams = 0;
   size_t bytes = 0;
-  Time last_believed{};
+  Time last_limited_at{};
   LimitTrialResult result;
 };
 
--- a/src/trial/limit_trial.h
+++ b/src/trial/limit_trial.h
@@ -1,13 +1,14 @@
-// What engines in need get from a fleet of gateways, against the limits that they name.
+// Simulates a fleet in which engines state a limit of requests per second for a while, and
+// measures how many requests the gateways send to these engines.
 //
-// Each gateway is a real Fleet with its engines' notices, its directory of peers and its
-// liveness; around it engines that name a limit for a while, callers, and datagrams that take
-// time and are lost now and then.  Gateways may be killed, cut off, suspended or added meanwhile.
+// Each gateway is a real Fleet with its engine notices, PeerDirectory and PeerLiveness.  The
+// simulation adds the engines, callers, and datagrams that take time and of which some are lost.
+// Gateways may be killed, partitioned, suspended or added during the run.
 //
 //   LimitTrialResult result = PlayLimits({.gateways = 103, .engines = 150});
-//   // result.most_of_allowed: at most 1, by the users' bound
+//   // result.max_of_allowed: at most 1, by the users' bound
 //
-// A run depends on its options only, not on the machine.
+// Runs are deterministic: the result depends on the options only.
 
 #ifndef GULLWARD_TRIAL_LIMIT_TRIAL_H_
 #define GULLWARD_TRIAL_LIMIT_TRIAL_H_
@@ -21,51 +22,55 @@
 
 struct LimitTrialOptions {
   size_t gateways = 5;
-  // Of the gateways, how many start during the need.
+  // How many of the gateways start only while the limit is in force.
   size_t added = 0;
   size_t engines = 18;
   size_t data_centres = 3;
-  // Requests a second, of each gateway's callers.
+  // Requests per second from the callers of each gateway.
   double requests_per_s = 10;
-  // The share of the engines that name a limit from `need_from` until `need_to`, and the limit:
-  // requests a second from all gateways.
+  // Share of the engines that state a limit from `limited_from` until `limited_until`, and the
+  // limit in requests per second from all gateways together.
   double limited_share = 0.25;
   double limit_per_s = 2.5;
-  Duration need_from = seconds(5);
-  Duration need_to = seconds(35);
-  Duration length = seconds(50);
-  // What engines work on a request before its answer begins.
+  Duration limited_from = seconds(5);
+  Duration limited_until = seconds(35);
+  Duration duration = seconds(50);
+  // Time that an engine works on a request before it answers.
   Duration work = milliseconds(80);
-  // How long a datagram takes, and the share that is lost.
-  Duration told_after = milliseconds(10);
-  double datagrams_lost = 0.01;
-  // Every so often each gateway in turn is killed and started again, cut off from the others,
-  // or suspended, for `trouble_for`.
-  Duration kill_every{};
-  Duration kill_all_every{};
-  Duration cut_every{};
-  Duration suspend_every{};
-  Duration trouble_for = seconds(2);
-  // A gateway in trouble is excused until so long after it.
-  Duration excused_for = seconds(3);
+  // Delay of a datagram, and the share of datagrams that is lost.
+  Duration datagram_delay = milliseconds(10);
+  double datagram_loss = 0.01;
+  // Intervals at which the next gateway in turn is killed and restarted, partitioned from its
+  // peers, or suspended, for `fault_duration`; `kill_all_interval` kills all gateways at once.
+  // Zero means never.
+  Duration kill_interval{};
+  Duration kill_all_interval{};
+  Duration partition_interval{};
+  Duration suspend_interval{};
+  Duration fault_duration = seconds(2);
+  // Requests from a gateway are not counted against the bound during its fault and for this
+  // long afterwards.
+  Duration excluded_for = seconds(3);
   bool engine_notices = true;
   uint64_t seed = 1;
 };
 
 struct LimitTrialResult {
   uint64_t requests = 0;
-  // Refused, since no engine takes one now.
+  // Requests refused because no engine could take one.
   uint64_t refused = 0;
-  // Of all windows of four seconds and all engines: what the engine got from gateways that it
-  // had told, against one and a half times its limit and five requests; the greatest.
-  double most_of_allowed = 0;
-  // What engines in need got of what they were ready to take, from the moment on from which the
-  // users' bound counts.
+  // Requests that an engine received within four seconds from gateways that had received its
+  // limit, divided by the number allowed: one and a half times the limit plus five requests.
+  // The maximum over all engines and all windows of four seconds.
+  double max_of_allowed = 0;
+  // Requests that the limited engines received, divided by the number that their limits allow,
+  // over the time in which the users' bound applies.
   double limit_used = 0;
-  // From the end of the need until the last gateway knew it, in milliseconds; negative where
-  // some never did.
+  // Time from the end of the limit until no gateway applies it, in milliseconds; negative if
+  // some gateway still applies it at the end of the run.
   double lifted_after_ms = 0;
-  // Sent for notices, by one gateway, a second of the need.
+  // Datagrams and bytes that one gateway sends for notices, per second while the limit is in
+  // force.
   double datagrams_per_s = 0;
   double bytes_per_s = 0;
 
--- a/src/trial/main.cc
+++ b/src/trial/main.cc
@@ -1,10 +1,10 @@
-// gullward-trial: measures the choice of endpoint under load and under faults.
+// gullward-trial: measures routing policies under load and under faults.
 //
-// A run is a deployment, a load, a condition and a policy: the real cores on a
-// passed-in clock against the stand-in engine's time model (trial/world), with
-// the same arrivals for every policy. It prints one row for each run, in the form
-// of docs/MEASUREMENTS.md. Runs do not depend on the machine: the same command
-// gives the same figures.
+// A run combines a deployment, a load, a condition (a fault or none) and a routing policy.  It
+// drives the real cores on simulated time against the time model of the stand-in engine
+// (trial/simulation.h).  All policies get the same arrivals.  The program prints one table row
+// for each run, in the form of docs/MEASUREMENTS.md.  Runs do not depend on the machine: the same
+// command gives the same figures.
 //
 //   gullward-trial --deployments=catalogue --loads=80 --conditions=calm
 
@@ -28,54 +28,56 @@
 #include "trial/fleet_tables.h"
 #include "trial/simulation.h"
 
-DEFINE_string(deployments, "catalogue,berkapu", "which deployments");
-DEFINE_string(loads, "50,80,100,130", "per cent of the fleet's capacity");
+DEFINE_string(deployments, "catalogue,berkapu", "deployments to simulate");
+DEFINE_string(loads, "50,80,100,130", "loads, in per cent of the fleet's capacity");
 DEFINE_string(conditions, "calm",
               "calm, engine_dead, engine_slow, zone_lost, reports_late, "
               "hints_lost, log_down, entry_restarted");
 DEFINE_string(policies, "estimate,round_robin,least_outstanding,longest_prefix,trapezoid",
-              "which policies");
-DEFINE_double(seconds, 600, "how long requests arrive");
-DEFINE_double(long_share, 0, "overrides the deployments' share of engines for long prompts");
+              "routing policies to compare");
+DEFINE_double(seconds, 600, "simulated time during which requests arrive");
+DEFINE_double(long_share, 0,
+              "share of engines for long prompts; if positive, replaces the deployments' share");
 DEFINE_uint64(seed, 1, "seed of the arrivals");
-DEFINE_int32(threads, 6, "runs at once");
+DEFINE_int32(threads, 6, "number of runs in parallel");
 DEFINE_string(scale, "",
-              "instead of the trials above: the table of what grows with a fleet, for these "
-              "numbers of gateways, such as 30,100,300,1000 (trial/scale_trial.h)");
+              "instead of the runs above, print the table of costs that grow with the fleet, for "
+              "these numbers of gateways, such as 30,100,300,1000 (trial/scale_trial.h)");
 DEFINE_string(crashing, "",
-              "instead of the trials above: what requests that end engines cost fleets of these "
-              "numbers of gateways, such as 5,30,103,300 (trial/crash_trial.h)");
+              "instead of the runs above, print the table of the cost of requests that crash "
+              "engines, for fleets of these numbers of gateways, such as 5,30,103,300 "
+              "(trial/crash_trial.h)");
 DEFINE_string(limited, "",
-              "instead of the trials above: what engines in need get from fleets of these numbers "
-              "of gateways, such as 5,30,100,300 (trial/limit_trial.h)");
+              "instead of the runs above, print the table of the load on engines that state a "
+              "limit, for fleets of these numbers of gateways, such as 5,30,100,300 "
+              "(trial/limit_trial.h)");
 DEFINE_double(engines_each, 10, "engines for each gateway, with --scale, --crashing, --limited");
 
 namespace gullward {
 namespace {
 
-// Exit status where a flag has a wrong value.
+// Exit status if a flag has an invalid value.
 constexpr int kUsageError = 2;
 constexpr size_t kEndpoints = 7;
 constexpr size_t kEnginesPerEndpoint = 3;
 constexpr size_t kEntries = 2;
 constexpr uint32_t kAnswerTokens = 16;
 
-// When the fault strikes, and for how long.
-constexpr Duration kFaultAt = seconds(30);
-constexpr Duration kFaultFor = seconds(40);
+// When the fault is injected after the start, and for how long it lasts.
+constexpr Duration kFaultDelay = seconds(30);
+constexpr Duration kFaultDuration = seconds(40);
 
 // ---------------------------------------------------------------- deployments
 
-// Requests of one length: how they share the fleet's work and how long they may
-// take.
+// Requests of similar length: their share of the fleet's work and their timeout.
 struct Band {
   const char* account;
-  uint64_t least_tokens;
-  uint64_t most_tokens;
+  uint64_t min_tokens;
+  uint64_t max_tokens;
   double work_share;
   Duration timeout;
-  // Of so many requests one asks again about a text sent shortly before.
-  double repeats;
+  // Share of the requests that repeat one of the last five texts of the band.
+  double repeat_share;
 };
 
 struct Deployment {
@@ -133,34 +135,34 @@
   Time at;
   size_t band;
   uint64_t tokens;
-  // Requests with the same text number begin with the same text.
+  // Requests with the same number have the same text, up to their length.
   uint64_t text;
 };
 
-double WorkOf(uint64_t tokens) { return Seconds(EngineModelOptions{}.speed, 0, tokens); }
+double PrefillSeconds(uint64_t tokens) { return Seconds(EngineModelOptions{}.speed, 0, tokens); }
 
-std::vector<Arrival> MakeArrivals(const Deployment& deployment, double load, bool shorts_only) {
+std::vector<Arrival> MakeArrivals(const Deployment& deployment, double load, bool short_band_only) {
   std::vector<Arrival> arrivals;
   Time start{std::chrono::hours(1)};
   double capacity = static_cast<double>(kEndpoints * kEnginesPerEndpoint);
   for (size_t b = 0; b < deployment.bands.size(); ++b) {
-    if (shorts_only && b > 0) break;
+    if (short_band_only && b > 0) break;
     const Band& band = deployment.bands[b];
-    // A stream of its own for each band, so that the shorts alone are the same
-    // shorts as in the mix.
+    // Each band has its own random numbers, so that the short requests are the same in a run
+    // with this band only and in the mix.
     std::mt19937_64 random(FLAGS_seed * 1000 + b);
-    std::uniform_int_distribution<uint64_t> length(band.least_tokens, band.most_tokens);
-    double mean = WorkOf((band.least_tokens + band.most_tokens) / 2);
-    double rate = load * capacity * band.work_share / mean;
+    std::uniform_int_distribution<uint64_t> length(band.min_tokens, band.max_tokens);
+    double mean_work = PrefillSeconds((band.min_tokens + band.max_tokens) / 2);
+    double rate = load * capacity * band.work_share / mean_work;
     std::exponential_distribution<double> gap(rate);
     uint64_t text = 0;
     std::vector<uint64_t> recent;
     for (double at = gap(random); at < FLAGS_seconds; at += gap(random)) {
-      bool again =
-          !recent.empty() && std::uniform_real_distribution<double>(0, 1)(random) < band.repeats;
+      bool repeats_text = !recent.empty() &&
+                          std::uniform_real_distribution<double>(0, 1)(random) < band.repeat_share;
       uint64_t tokens = length(random);
       uint64_t number = (b + 1) * 1'000'000 + text++;
-      if (again) {
+      if (repeats_text) {
         number = recent[random() % recent.size()];
       } else {
         recent.push_back(number);
@@ -189,7 +191,7 @@
   int load;
   std::string condition;
   std::string policy;
-  bool shorts_only = false;
+  bool short_band_only = false;
 };
 
 struct Figures {
@@ -202,19 +204,19 @@
   std::vector<std::string> broken;
 };
 
-void Strike(Simulation* simulation, const std::string& condition) {
-  Time at = simulation->now() + kFaultAt;
+void ScheduleFault(Simulation* simulation, const std::string& condition) {
+  Time at = simulation->now() + kFaultDelay;
   if (condition == "engine_dead") {
     simulation->At(at, [simulation] {
       simulation->KillEngine(0, 0);
-      simulation->FreezeEngine(0, 0, kFaultFor);
+      simulation->FreezeEngine(0, 0, kFaultDuration);
     });
   } else if (condition == "engine_slow") {
     simulation->At(at, [simulation] { simulation->SlowEngine(0, 0, 10); });
   } else if (condition == "zone_lost") {
     for (size_t i = 0; i < 2; ++i) {
       simulation->At(at, [simulation, i] { simulation->KillEndpoint(i); });
-      simulation->At(at + kFaultFor, [simulation, i] { simulation->RestartEndpoint(i); });
+      simulation->At(at + kFaultDuration, [simulation, i] { simulation->RestartEndpoint(i); });
     }
   } else if (condition == "log_down") {
     simulation->At(at, [simulation] { simulation->SetLogDown(true); });
@@ -235,12 +237,13 @@
   Simulation simulation(options);
   simulation.Publish(ConfigOf(*run.deployment, run.policy));
   simulation.RunFor(seconds(1));
-  Strike(&simulation, run.condition);
-  std::vector<Arrival> arrivals = MakeArrivals(*run.deployment, run.load / 100.0, run.shorts_only);
+  ScheduleFault(&simulation, run.condition);
+  std::vector<Arrival> arrivals =
+      MakeArrivals(*run.deployment, run.load / 100.0, run.short_band_only);
   std::vector<size_t> band_of;
   for (size_t i = 0; i < arrivals.size(); ++i) {
     simulation.RunUntil(arrivals[i].at);
-    // Callers come back to the other entry while theirs is down.
+    // Callers use the other entry while theirs is down.
     size_t entry = i % kEntries;
     if (simulation.entry(entry) == nullptr) entry = 0;
     simulation.Submit(entry, MakeInput(*run.deployment, arrivals[i]));
@@ -274,10 +277,10 @@
   return figures;
 }
 
-double Percentile(std::vector<double> values, double part) {
+double Percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return std::nan("");
   std::sort(values.begin(), values.end());
-  auto index = static_cast<size_t>(std::lround(part * static_cast<double>(values.size() - 1)));
+  auto index = static_cast<size_t>(std::lround(fraction * static_cast<double>(values.size() - 1)));
   return values[index];
 }
 
@@ -289,14 +292,15 @@
   return text;
 }
 
-void PrintRow(const Run& run, const Figures& figures, double alone_p95) {
+void PrintRow(const Run& run, const Figures& figures, double baseline_p95) {
   double p95 = Percentile(figures.first[0], 0.95);
   double refused_after =
       figures.refused == 0 ? 0 : figures.refused_after / static_cast<double>(figures.refused);
   std::printf("| %s | %d | %s | %s | %s | %s | %s | %s | %.2f | %.1f | %zu | %.3f | %.4f |%s\n",
               run.deployment->name.c_str(), run.load, run.condition.c_str(), run.policy.c_str(),
               Triple(figures.first[0]).c_str(), Triple(figures.first[1]).c_str(),
-              Triple(figures.first[2]).c_str(), Triple(figures.first[3]).c_str(), p95 / alone_p95,
+              Triple(figures.first[2]).c_str(), Triple(figures.first[3]).c_str(),
+              p95 / baseline_p95,
               100.0 * static_cast<double>(figures.in_time) / static_cast<double>(figures.sent),
               figures.refused, refused_after, figures.retries,
               figures.broken.empty() ? "" : " PROMISE BROKEN");
@@ -304,20 +308,20 @@
   std::fflush(stdout);
 }
 
-std::vector<std::string> Words(const std::string& text) {
+std::vector<std::string> SplitList(const std::string& text) {
   return absl::StrSplit(text, ',', absl::SkipEmpty());
 }
 
 std::vector<Run> PlanRuns() {
   std::vector<Run> runs;
   for (const Deployment& deployment : Deployments()) {
-    std::vector<std::string> wanted = Words(FLAGS_deployments);
+    std::vector<std::string> wanted = SplitList(FLAGS_deployments);
     if (std::find(wanted.begin(), wanted.end(), deployment.name) == wanted.end()) continue;
-    for (const std::string& load : Words(FLAGS_loads)) {
-      // The shorts alone, as the measure of their slowdown in the mix.
+    for (const std::string& load : SplitList(FLAGS_loads)) {
+      // The short requests without the other bands: the baseline for their slowdown in the mix.
       runs.push_back({&deployment, std::stoi(load), "calm", "estimate", true});
-      for (const std::string& condition : Words(FLAGS_conditions)) {
-        for (const std::string& policy : Words(FLAGS_policies)) {
+      for (const std::string& condition : SplitList(FLAGS_conditions)) {
+        for (const std::string& policy : SplitList(FLAGS_policies)) {
           runs.push_back({&deployment, std::stoi(load), condition, policy, false});
         }
       }
@@ -342,20 +346,20 @@
       "to 32k | to 200k | above | short slowdown | in time %% | refused | refused after s "
       "| retries a request |\n");
   std::printf("|---|---|---|---|---|---|---|---|---|---|---|---|---|\n");
-  double alone_p95 = 1;
+  double baseline_p95 = 1;
   bool broken = false;
   for (size_t i = 0; i < runs.size(); ++i) {
-    if (runs[i].shorts_only) {
-      alone_p95 = Percentile(figures[i].first[0], 0.95);
+    if (runs[i].short_band_only) {
+      baseline_p95 = Percentile(figures[i].first[0], 0.95);
       continue;
     }
-    PrintRow(runs[i], figures[i], alone_p95);
+    PrintRow(runs[i], figures[i], baseline_p95);
     broken = broken || !figures[i].broken.empty();
   }
   return broken ? 1 : 0;
 }
 
-// The table of a flag that lists sizes of a fleet.
+// Prints a table for the fleet sizes listed in the value of `flag`.
 int RunTable(const std::string& flag, const std::string& sizes,
              const std::function<void(const TableOptions&)>& print) {
   std::optional<std::vector<size_t>> gateways = ReadSizes(flag, sizes);
@@ -368,7 +372,7 @@
 }  // namespace gullward
 
 int main(int argc, char** argv) {
-  gullward::InitProcess("gullward-trial: measures the choice of endpoint", &argc, &argv);
+  gullward::InitProcess("gullward-trial: measures routing policies", &argc, &argv);
   using gullward::RunTable;
   if (!FLAGS_scale.empty()) {
     return RunTable("scale", FLAGS_scale, gullward::PrintScaleTable);
--- a/src/trial/simulation.cc
+++ b/src/trial/simulation.cc
@@ -1,4 +1,4 @@
-// world.h tells what it is for.
+// Event loop, links, engines and callers of the simulation.
 
 #include "trial/simulation.h"
 
@@ -17,13 +17,14 @@
 constexpr Duration kEntryTick = milliseconds(20);
 constexpr Duration kEndpointTick = milliseconds(50);
 constexpr Duration kReportPeriod = milliseconds(250);
-constexpr Duration kSilence = seconds(3);
+constexpr Duration kLinkTimeout = seconds(3);
 constexpr Duration kEngineDelay = Duration(200);
 constexpr Duration kControlTimeout = seconds(2);
 constexpr Duration kLogDelay = milliseconds(5);
 
-// A request may end this much after its deadline: a tick and a link's delay.
-constexpr Duration kGrace = milliseconds(100);
+// A request may end this much after its deadline, for the period of a tick and the delay of a
+// link.
+constexpr Duration kDeadlineGrace = milliseconds(100);
 
 }  // namespace
 
@@ -32,8 +33,8 @@
   for (size_t i = 0; i < this->options.endpoints; ++i) {
     auto node = std::make_unique<EndpointNode>();
     node->index = i;
-    node->service = i + this->options.services >= this->options.endpoints;
-    for (size_t e = 0; !node->service && e < this->options.engines_per_endpoint; ++e) {
+    node->is_service = i + this->options.services >= this->options.endpoints;
+    for (size_t e = 0; !node->is_service && e < this->options.engines_per_endpoint; ++e) {
       node->engines.push_back(std::make_unique<EngineNode>());
       node->engines.back()->model = std::make_unique<EngineModel>(this->options.engine);
     }
@@ -52,7 +53,7 @@
 // ------------------------------------------------------------ events and time
 
 void Simulation::At(Time when, std::function<void()> task) {
-  this->events.push({std::max(when, this->clock), this->next_order++, std::move(task)});
+  this->events.push({std::max(when, this->clock), this->next_event_number++, std::move(task)});
 }
 
 void Simulation::RunUntil(Time end) {
@@ -61,8 +62,8 @@
 
 void Simulation::RunFor(Duration duration) { this->RunUntil(this->clock + duration); }
 
-bool Simulation::RunUntilTrue(const std::function<bool()>& condition, Duration most) {
-  Time end = this->clock + most;
+bool Simulation::RunUntilTrue(const std::function<bool()>& condition, Duration timeout) {
+  Time end = this->clock + timeout;
   while (!condition()) {
     if (this->events.empty() || this->events.top().at > end) {
       this->clock = end;
@@ -78,11 +79,11 @@
 
 template <typename Node>
 void Simulation::DeliverTo(Node* node, Duration delay, std::function<void()> task) {
-  uint64_t life = node->life;
-  this->At(this->clock + delay, [this, node, life, task = std::move(task)] {
-    if (!node->alive || node->life != life) return;
+  uint64_t incarnation = node->incarnation;
+  this->At(this->clock + delay, [this, node, incarnation, task = std::move(task)] {
+    if (!node->is_alive || node->incarnation != incarnation) return;
     if (node->paused_until > this->clock) {
-      node->held.push_back(task);
+      node->deferred.push_back(task);
     } else {
       task();
     }
@@ -100,11 +101,11 @@
 template <typename Node>
 void Simulation::Pause(Node* node, Duration duration) {
   node->paused_until = this->clock + duration;
-  uint64_t life = node->life;
-  this->At(node->paused_until, [node, life] {
-    if (!node->alive || node->life != life) return;
-    std::vector<std::function<void()>> held = std::exchange(node->held, {});
-    for (const std::function<void()>& task : held) task();
+  uint64_t incarnation = node->incarnation;
+  this->At(node->paused_until, [node, incarnation] {
+    if (!node->is_alive || node->incarnation != incarnation) return;
+    std::vector<std::function<void()>> deferred = std::exchange(node->deferred, {});
+    for (const std::function<void()>& task : deferred) task();
   });
 }
 
@@ -122,9 +123,9 @@
 }
 
 void Simulation::StartEntry(EntryNode* node) {
-  node->alive = true;
-  ++node->life;
-  node->held.clear();
+  node->is_alive = true;
+  ++node->incarnation;
+  node->deferred.clear();
   node->calls.clear();
   node->next_claim = 0;
   node->feed = std::make_unique<ConfigFeed>();
@@ -136,19 +137,19 @@
   entry_options.claimer.writer = entry_options.incarnation;
   node->core = std::make_unique<EntryCore>(entry_options, node->feed.get(), this->clock);
   node->core->OnBoxList(this->options.entries, {});
-  this->TickEntry(node->index, node->life);
+  this->TickEntry(node->index, node->incarnation);
 }
 
 void Simulation::StartEndpoint(EndpointNode* node) {
-  node->alive = true;
-  ++node->life;
-  node->held.clear();
+  node->is_alive = true;
+  ++node->incarnation;
+  node->deferred.clear();
   node->reports.clear();
   EndpointOptions endpoint_options;
   endpoint_options.box = this->BoxName(node->index);
   endpoint_options.incarnation = this->next_incarnation++;
   endpoint_options.sweep_period = seconds(1);
-  if (node->service) endpoint_options.service = "desk";
+  if (node->is_service) endpoint_options.service = "desk";
   for (uint32_t e = 0; e < node->engines.size(); ++e) {
     EngineOptions engine;
     engine.name = "engine-" + std::to_string(node->index + 1) + "-" + std::to_string(e);
@@ -159,24 +160,25 @@
     endpoint_options.engines.push_back(engine);
   }
   node->core = std::make_unique<EndpointCore>(endpoint_options, this->clock);
-  this->TickEndpoint(node->index, node->life);
+  this->TickEndpoint(node->index, node->incarnation);
 }
 
-void Simulation::TickEntry(size_t entry, uint64_t life) {
+void Simulation::TickEntry(size_t entry, uint64_t incarnation) {
   EntryNode* node = this->entry_nodes[entry].get();
-  if (!node->alive || node->life != life) return;
-  this->At(this->clock + kEntryTick, [this, entry, life] { this->TickEntry(entry, life); });
+  if (!node->is_alive || node->incarnation != incarnation) return;
+  this->At(this->clock + kEntryTick,
+           [this, entry, incarnation] { this->TickEntry(entry, incarnation); });
   if (node->paused_until > this->clock) return;
   this->ReadClaims(node);
   node->core->Tick(this->clock);
   this->Perform(node);
 }
 
-void Simulation::TickEndpoint(size_t endpoint, uint64_t life) {
+void Simulation::TickEndpoint(size_t endpoint, uint64_t incarnation) {
   EndpointNode* node = this->endpoint_nodes[endpoint].get();
-  if (!node->alive || node->life != life) return;
+  if (!node->is_alive || node->incarnation != incarnation) return;
   this->At(this->clock + kEndpointTick,
-           [this, endpoint, life] { this->TickEndpoint(endpoint, life); });
+           [this, endpoint, incarnation] { this->TickEndpoint(endpoint, incarnation); });
   if (node->paused_until > this->clock) return;
   node->core->Tick(this->clock);
   this->Perform(node);
@@ -191,8 +193,8 @@
 
 void Simulation::KillEntry(size_t entry) {
   EntryNode* node = this->entry_nodes[entry].get();
-  node->alive = false;
-  ++node->life;
+  node->is_alive = false;
+  ++node->incarnation;
   for (size_t i = 0; i < this->endpoint_nodes.size(); ++i) this->BreakLink(entry, i);
   for (const auto& [id, index] : node->calls) {
     if (this->calls[index].ended) continue;
@@ -211,8 +213,8 @@
 
 void Simulation::KillEndpoint(size_t endpoint) {
   EndpointNode* node = this->endpoint_nodes[endpoint].get();
-  node->alive = false;
-  ++node->life;
+  node->is_alive = false;
+  ++node->incarnation;
   for (size_t i = 0; i < this->entry_nodes.size(); ++i) this->BreakLink(i, endpoint);
   node->core.reset();
 }
@@ -238,24 +240,24 @@
 void Simulation::HeartbeatLinks() {
   for (size_t e = 0; e < this->entry_nodes.size(); ++e) {
     EntryNode* entry_node = this->entry_nodes[e].get();
-    bool entry_awake = entry_node->alive && entry_node->paused_until <= this->clock;
+    bool entry_is_awake = entry_node->is_alive && entry_node->paused_until <= this->clock;
     for (size_t b = 0; b < this->endpoint_nodes.size(); ++b) {
       EndpointNode* endpoint_node = this->endpoint_nodes[b].get();
       Link& link = this->links[{e, b}];
-      if (!link.up) {
-        bool silent = link.silent_until > this->clock;
-        if (entry_awake && endpoint_node->alive && !silent) this->ConnectLink(e, b);
+      if (!link.is_up) {
+        bool is_partitioned = link.partitioned_until > this->clock;
+        if (entry_is_awake && endpoint_node->is_alive && !is_partitioned) this->ConnectLink(e, b);
         continue;
       }
-      if (entry_awake && this->clock - link.last_heard >= kSilence) {
+      if (entry_is_awake && this->clock - link.last_received >= kLinkTimeout) {
         this->BreakLink(e, b);
         continue;
       }
-      if (entry_awake) {
+      if (entry_is_awake) {
         int64_t offset = entry_node->feed->state().offset();
-        this->SendToEndpoint(e, b, EntryHeartbeat{this->entry_nodes[e]->life, 0, offset});
+        this->SendToEndpoint(e, b, EntryHeartbeat{this->entry_nodes[e]->incarnation, 0, offset});
       }
-      if (endpoint_node->alive && endpoint_node->paused_until <= this->clock) {
+      if (endpoint_node->is_alive && endpoint_node->paused_until <= this->clock) {
         this->SendToEntry(b, e + 1, this->ReportOf(endpoint_node));
       }
     }
@@ -267,7 +269,7 @@
   EndpointHeartbeat report = node->core->Heartbeat(-1, this->clock);
   if (this->options.report_lag > Duration{}) {
     node->reports.emplace_back(this->clock, report);
-    // The newest one that is old enough; the oldest one where none is.
+    // Sends the newest report that is old enough, or the oldest if none is.
     Time wanted = this->clock - this->options.report_lag;
     while (node->reports.size() > 1 && node->reports[1].first <= wanted) node->reports.pop_front();
     report = node->reports.front().second;
@@ -282,9 +284,9 @@
 
 void Simulation::ConnectLink(size_t e, size_t b) {
   Link& link = this->links[{e, b}];
-  link.up = true;
+  link.is_up = true;
   ++link.session;
-  link.last_heard = this->clock;
+  link.last_received = this->clock;
   EndpointNode* node = this->endpoint_nodes[b].get();
   uint64_t incarnation = this->entry_nodes[e]->core->incarnation();
   this->Deliver(node, this->options.link_delay, [this, node, e, b, incarnation] {
@@ -295,8 +297,8 @@
 
 void Simulation::BreakLink(size_t e, size_t b) {
   Link& link = this->links[{e, b}];
-  if (!link.up) return;
-  link.up = false;
+  if (!link.is_up) return;
+  link.is_up = false;
   ++link.session;
   EntryNode* entry_node = this->entry_nodes[e].get();
   EndpointNode* endpoint_node = this->endpoint_nodes[b].get();
@@ -305,23 +307,23 @@
     entry_node->core->OnBoxLost(this->BoxName(b), this->clock);
     this->Perform(entry_node);
   });
-  // Over a silent link the endpoint hears nothing, also not of the end.
-  if (link.silent_until > this->clock) return;
+  // On a partitioned link the endpoint receives nothing, not even the reset.
+  if (link.partitioned_until > this->clock) return;
   this->Deliver(endpoint_node, this->options.link_delay, [this, endpoint_node, e] {
     endpoint_node->core->OnPeerLost(e + 1, this->clock);
     this->Perform(endpoint_node);
   });
 }
 
-void Simulation::CutLink(size_t e, size_t b) { this->BreakLink(e, b); }
+void Simulation::ResetLink(size_t e, size_t b) { this->BreakLink(e, b); }
 
-void Simulation::SilenceLink(size_t e, size_t b, Duration duration) {
-  this->links[{e, b}].silent_until = this->clock + duration;
+void Simulation::PartitionLink(size_t e, size_t b, Duration duration) {
+  this->links[{e, b}].partitioned_until = this->clock + duration;
 }
 
 void Simulation::SendToEndpoint(size_t e, size_t b, const Message& message) {
   Link& link = this->links[{e, b}];
-  if (!link.up || link.silent_until > this->clock) return;
+  if (!link.is_up || link.partitioned_until > this->clock) return;
   EndpointNode* node = this->endpoint_nodes[b].get();
   uint64_t session = link.session;
   bool heartbeat = std::holds_alternative<EntryHeartbeat>(message);
@@ -337,7 +339,7 @@
 void Simulation::SendToEntry(size_t b, PeerId peer, const Message& message) {
   size_t e = peer - 1;
   Link& link = this->links[{e, b}];
-  if (!link.up || link.silent_until > this->clock) return;
+  if (!link.is_up || link.partitioned_until > this->clock) return;
   EntryNode* node = this->entry_nodes[e].get();
   uint64_t session = link.session;
   bool heartbeat = std::holds_alternative<EndpointHeartbeat>(message);
@@ -346,7 +348,7 @@
   this->Deliver(node, this->options.link_delay, [this, node, e, b, session, message, heartbeat] {
     Link& now_link = this->links[{e, b}];
     if (now_link.session != session) return;
-    now_link.last_heard = this->clock;
+    now_link.last_received = this->clock;
     node->core->OnMessage(this->BoxName(b), message, this->clock);
     if (!heartbeat) this->Perform(node);
   });
@@ -362,8 +364,8 @@
 void Simulation::Perform(EntryNode* node) {
   for (const EntryAction& action : node->core->TakeActions()) {
     if (this->on_entry_action) this->on_entry_action(action);
-    // The hook may have killed the node; what it had decided is lost with it.
-    if (!node->alive) return;
+    // The hook may have killed the node; its remaining actions are lost.
+    if (!node->is_alive) return;
     if (const auto* send = std::get_if<SendToBox>(&action)) {
       this->SendToEndpoint(node->index, this->BoxIndex(send->box), send->message);
     } else if (const auto* append = std::get_if<AppendClaims>(&action)) {
@@ -403,9 +405,9 @@
 
 void Simulation::Perform(EndpointNode* node) {
   for (const EndpointAction& action : node->core->TakeActions()) {
-    this->acting = node->index;
+    this->acting_index = node->index;
     if (this->on_endpoint_action) this->on_endpoint_action(action);
-    if (!node->alive) return;
+    if (!node->is_alive) return;
     if (const auto* send = std::get_if<SendToPeer>(&action)) {
       this->SendToEntry(node->index, send->peer, send->message);
     } else if (const auto* start = std::get_if<StartOnEngine>(&action)) {
@@ -430,8 +432,8 @@
   Call* call = this->CallOf(start.id.request);
   if (call != nullptr && last) ++call->starts;
   EngineNode* engine = node->engines[start.engine].get();
-  uint64_t engine_life = engine->life;
-  uint64_t node_life = node->life;
+  uint64_t engine_incarnation = engine->incarnation;
+  uint64_t node_incarnation = node->incarnation;
   auto broken = [this, node, id = start.id](ResultCode code, Ran ran) {
     this->Deliver(node, kEngineDelay, [this, node, id, code, ran] {
       node->core->OnEngineBroken(id, {code, ran}, this->clock);
@@ -439,64 +441,65 @@
     });
   };
   Duration delay = kEngineDelay;
-  if (this->Frozen(*engine)) delay += engine->frozen_until - this->clock;
-  this->At(this->clock + delay, [this, node, engine, engine_life, node_life, start, broken] {
-    if (engine->life != engine_life) {
-      broken(ResultCode::kEngineFailed, Ran::kUnknown);
-      return;
-    }
-    EngineJob job;
-    job.allocation = ToString(start.id);
-    job.prompt_tokens = TokensOf(start.offer.prompt.size());
-    job.max_tokens = start.offer.max_tokens;
-    job.priority = start.offer.priority;
-    job.keep = start.offer.piece + 1 < start.offer.pieces;
-    job.memory_tokens = start.offer.prompt_tokens + (job.keep ? 0 : job.max_tokens);
-    uint64_t hash = kAnswerSeed;
-    for (const KvContext& context : start.offer.context) {
-      size_t slash = context.address.find('/');
-      const EndpointNode& other =
-          *this->endpoint_nodes[this->BoxIndex(context.address.substr(0, slash))];
-      const EngineModel& model =
-          *other.engines[std::stoul(context.address.substr(slash + 1))]->model;
-      auto kept = model.holdings().find(context.allocation);
-      if (kept == model.holdings().end() || !kept->second.kept) {
-        broken(ResultCode::kStaleOffer, Ran::kNo);
-        return;
-      }
-      hash = kept->second.hash;
-      job.before_tokens += kept->second.prompt_tokens;
-    }
-    job.hash = ContinueHash(hash, start.offer.prompt);
-    if (start.offer.context.empty()) job.prefixes = PrefixHashes(start.offer.prompt);
-    EngineModel::Submitted submitted = engine->model->Submit(job, this->clock);
-    if (submitted != EngineModel::Submitted::kOk) {
-      bool memory = submitted == EngineModel::Submitted::kNoMemory;
-      broken(memory ? ResultCode::kNoMemory : ResultCode::kStaleOffer, Ran::kNo);
-      return;
-    }
-    engine->streams[job.allocation] = start.id;
-    engine->stream_life[job.allocation] = node_life;
-    this->ScheduleEngine(node, start.engine);
-  });
+  if (this->IsFrozen(*engine)) delay += engine->frozen_until - this->clock;
+  this->At(this->clock + delay,
+           [this, node, engine, engine_incarnation, node_incarnation, start, broken] {
+             if (engine->incarnation != engine_incarnation) {
+               broken(ResultCode::kEngineFailed, Ran::kUnknown);
+               return;
+             }
+             EngineJob job;
+             job.allocation = ToString(start.id);
+             job.prompt_tokens = TokensOf(start.offer.prompt.size());
+             job.max_tokens = start.offer.max_tokens;
+             job.priority = start.offer.priority;
+             job.keep = start.offer.piece + 1 < start.offer.pieces;
+             job.memory_tokens = start.offer.prompt_tokens + (job.keep ? 0 : job.max_tokens);
+             uint64_t hash = kAnswerSeed;
+             for (const KvContext& context : start.offer.context) {
+               size_t slash = context.address.find('/');
+               const EndpointNode& other =
+                   *this->endpoint_nodes[this->BoxIndex(context.address.substr(0, slash))];
+               const EngineModel& model =
+                   *other.engines[std::stoul(context.address.substr(slash + 1))]->model;
+               auto kept = model.holdings().find(context.allocation);
+               if (kept == model.holdings().end() || !kept->second.kept) {
+                 broken(ResultCode::kStaleOffer, Ran::kNo);
+                 return;
+               }
+               hash = kept->second.hash;
+               job.before_tokens += kept->second.prompt_tokens;
+             }
+             job.hash = ContinueHash(hash, start.offer.prompt);
+             if (start.offer.context.empty()) job.prefixes = PrefixHashes(start.offer.prompt);
+             EngineModel::Submitted submitted = engine->model->Submit(job, this->clock);
+             if (submitted != EngineModel::Submitted::kOk) {
+               bool memory = submitted == EngineModel::Submitted::kNoMemory;
+               broken(memory ? ResultCode::kNoMemory : ResultCode::kStaleOffer, Ran::kNo);
+               return;
+             }
+             engine->streams[job.allocation] = start.id;
+             engine->stream_incarnation[job.allocation] = node_incarnation;
+             this->ScheduleEngine(node, start.engine);
+           });
 }
 
 void Simulation::ScheduleEngine(EndpointNode* node, uint32_t index) {
   EngineNode* engine = node->engines[index].get();
   std::optional<Time> next = engine->model->NextEvent();
-  if (!next || *next == engine->planned) return;
-  engine->planned = *next;
-  uint64_t life = engine->life;
-  this->At(*next, [this, node, index, life] {
+  if (!next || *next == engine->next_advance) return;
+  engine->next_advance = *next;
+  uint64_t incarnation = engine->incarnation;
+  this->At(*next, [this, node, index, incarnation] {
     EngineNode* due = node->engines[index].get();
-    if (due->life != life) return;
-    if (!this->Frozen(*due)) {
+    if (due->incarnation != incarnation) return;
+    if (!this->IsFrozen(*due)) {
       this->AdvanceEngine(node, index);
       return;
     }
-    due->planned = due->frozen_until;
-    this->At(due->frozen_until, [this, node, index, due, life] {
-      if (due->life == life) this->AdvanceEngine(node, index);
+    due->next_advance = due->frozen_until;
+    this->At(due->frozen_until, [this, node, index, due, incarnation] {
+      if (due->incarnation == incarnation) this->AdvanceEngine(node, index);
     });
   });
 }
@@ -507,13 +510,14 @@
     auto found = engine->streams.find(event.allocation);
     if (found == engine->streams.end()) continue;
     AttemptId id = found->second;
-    bool same_life = engine->stream_life[event.allocation] == node->life;
+    bool same_incarnation = engine->stream_incarnation[event.allocation] == node->incarnation;
     if (event.finished) {
       engine->streams.erase(found);
-      engine->stream_life.erase(event.allocation);
+      engine->stream_incarnation.erase(event.allocation);
     }
-    // The endpoint process that had started it is gone, and its connection.
-    if (!same_life) continue;
+    // The endpoint process that started the job is no longer running, so its connection is
+    // closed.
+    if (!same_incarnation) continue;
     this->Deliver(node, kEngineDelay, [this, node, id, event] {
       if (event.finished) {
         node->core->OnEngineFinished(id,
@@ -538,7 +542,7 @@
       this->Perform(node);
     });
   };
-  if (this->Frozen(*engine)) {
+  if (this->IsFrozen(*engine)) {
     answer(false, kControlTimeout);
     return;
   }
@@ -551,7 +555,7 @@
 
 void Simulation::ListEngine(EndpointNode* node, uint32_t index) {
   EngineNode* engine = node->engines[index].get();
-  bool frozen = this->Frozen(*engine);
+  bool frozen = this->IsFrozen(*engine);
   this->Deliver(node, frozen ? Duration(kControlTimeout) : kEngineDelay,
                 [this, node, engine, index, frozen] {
                   if (frozen) {
@@ -570,24 +574,24 @@
 void Simulation::BreakStreams(EndpointNode* node, uint32_t index, Ran ran) {
   EngineNode* engine = node->engines[index].get();
   for (const auto& [name, id] : engine->streams) {
-    if (engine->stream_life[name] != node->life) continue;
+    if (engine->stream_incarnation[name] != node->incarnation) continue;
     this->Deliver(node, kEngineDelay, [this, node, id = id, ran] {
       node->core->OnEngineBroken(id, {ResultCode::kEngineFailed, ran}, this->clock);
       this->Perform(node);
     });
   }
   engine->streams.clear();
-  engine->stream_life.clear();
+  engine->stream_incarnation.clear();
 }
 
 void Simulation::KillEngine(size_t endpoint, uint32_t index) {
   EndpointNode* node = this->endpoint_nodes[endpoint].get();
   EngineNode* engine = node->engines[index].get();
   this->BreakStreams(node, index, Ran::kUnknown);
-  ++engine->life;
+  ++engine->incarnation;
   engine->model = std::make_unique<EngineModel>(this->options.engine);
-  engine->model->SetSlowness(engine->slowness);
-  engine->planned = Time();
+  engine->model->SetSlowness(engine->slowdown);
+  engine->next_advance = Time();
 }
 
 void Simulation::FreezeEngine(size_t endpoint, uint32_t index, Duration duration) {
@@ -597,11 +601,11 @@
 
 void Simulation::SlowEngine(size_t endpoint, uint32_t index, double factor) {
   EngineNode* engine = this->endpoint_nodes[endpoint]->engines[index].get();
-  engine->slowness = factor;
+  engine->slowdown = factor;
   engine->model->SetSlowness(factor);
 }
 
-void Simulation::CutStreams(size_t endpoint, uint32_t index) {
+void Simulation::AbortStreams(size_t endpoint, uint32_t index) {
   this->BreakStreams(this->endpoint_nodes[endpoint].get(), index, Ran::kYes);
 }
 
@@ -632,7 +636,7 @@
   Duration wait{};
   if (node->paused_until > this->clock) wait = node->paused_until - this->clock;
   this->At(this->clock + wait, [this, node, index, input = std::move(input)] {
-    if (!node->alive) {
+    if (!node->is_alive) {
       this->calls[index].broken = this->calls[index].ended = true;
       return;
     }
@@ -647,9 +651,9 @@
   return index;
 }
 
-void Simulation::CallerLeaves(size_t index) {
+void Simulation::DisconnectCaller(size_t index) {
   Call& call = this->calls[index];
-  call.gone = true;
+  call.disconnected = true;
   if (call.ended) return;
   call.ended = true;
   call.ended_at = this->clock;
@@ -671,13 +675,13 @@
   ConfigChange change = MakeChange(*file, state, {999, static_cast<uint64_t>(offset)});
   this->config_log.push_back({offset, EncodeRecord(change)});
   for (const auto& node : this->entry_nodes) {
-    if (!node->alive) continue;
+    if (!node->is_alive) continue;
     node->feed->ApplyLogRecords(0, this->config_log);
     node->core->OnConfigChanged();
     node->core->OnBoxList(this->options.entries, {});
   }
   for (const auto& node : this->endpoint_nodes) {
-    if (!node->alive || this->entry_nodes.empty()) continue;
+    if (!node->is_alive || this->entry_nodes.empty()) continue;
     const ConfigState& current = this->entry_nodes[0]->feed->state();
     const RoutingSpec& routing = current.Routing();
     node->core->SetPolicy(routing.group_memory_share, static_cast<uint64_t>(routing.long_tokens),
@@ -691,25 +695,25 @@
 
 // ------------------------------------------------------------------ invariants
 
-std::vector<std::string> Simulation::CheckInvariants(bool quiet) const {
+std::vector<std::string> Simulation::CheckInvariants(bool expect_idle) const {
   std::vector<std::string> broken;
   std::map<uint64_t, int> starts_of_key;
   for (size_t i = 0; i < this->calls.size(); ++i) {
     const Call& call = this->calls[i];
     std::string name = "call " + std::to_string(i) + ": ";
-    bool late = !call.ended && this->clock > call.deadline + kGrace;
-    bool ended_late = call.ended && call.ended_at > call.deadline + kGrace;
-    if (late || ended_late) broken.push_back(name + "not ended within its stated time");
+    bool late = !call.ended && this->clock > call.deadline + kDeadlineGrace;
+    bool ended_late = call.ended && call.ended_at > call.deadline + kDeadlineGrace;
+    if (late || ended_late) broken.push_back(name + "not ended by its deadline");
     if (call.finished && call.input.service.empty()) {
       std::string expected = ExpectedAnswer(*call.input.prompt, call.input.max_tokens);
-      if (call.text != expected) broken.push_back(name + "answer is not the whole one");
+      if (call.text != expected) broken.push_back(name + "the answer is not the expected one");
     }
     if (call.finished && !call.input.service.empty()) {
       if (call.text != "entered " + *call.input.prompt) broken.push_back(name + "wrong answer");
     }
-    bool failed = call.ended && !call.finished && !call.broken && !call.gone;
+    bool failed = call.ended && !call.finished && !call.broken && !call.disconnected;
     if (failed && call.failure.ran == Ran::kNo && call.starts > 0) {
-      broken.push_back(name + "said not run, but was started");
+      broken.push_back(name + "reported as not run, but was started");
     }
     if (!call.input.repeatable && call.starts > 1) {
       broken.push_back(name + "not repeatable, but started " + std::to_string(call.starts) +
@@ -720,28 +724,28 @@
     }
   }
   for (const auto& [key, starts] : starts_of_key) {
-    if (starts > 1) broken.push_back("key " + std::to_string(key) + " was run more than once");
+    if (starts > 1) broken.push_back("key " + std::to_string(key) + " was started more than once");
   }
   for (const auto& node : this->endpoint_nodes) {
     for (uint32_t e = 0; e < node->engines.size(); ++e) {
       std::string name = this->BoxName(node->index) + " engine " + std::to_string(e) + ": ";
       const EngineModel& model = *node->engines[e]->model;
-      if (node->alive && !node->core->ledger(e).Consistent()) {
+      if (node->is_alive && !node->core->ledger(e).Consistent()) {
         broken.push_back(name + "ledger is not consistent");
       }
-      if (!quiet) continue;
-      if (!model.holdings().empty()) broken.push_back(name + "memory is held after quiet");
-      if (node->alive && node->core->ledger(e).free() != node->core->ledger(e).total()) {
-        broken.push_back(name + "ledger holds memory after quiet");
+      if (!expect_idle) continue;
+      if (!model.holdings().empty()) broken.push_back(name + "memory is held at the end");
+      if (node->is_alive && node->core->ledger(e).free() != node->core->ledger(e).total()) {
+        broken.push_back(name + "ledger holds memory at the end");
       }
     }
-    if (quiet && node->alive && node->core->attempts() > 0) {
-      broken.push_back(this->BoxName(node->index) + " has attempts after quiet");
+    if (expect_idle && node->is_alive && node->core->attempts() > 0) {
+      broken.push_back(this->BoxName(node->index) + " has attempts at the end");
     }
   }
   for (const auto& node : this->entry_nodes) {
-    if (quiet && node->alive && node->core->in_flight() > 0) {
-      broken.push_back("an entry has requests after quiet");
+    if (expect_idle && node->is_alive && node->core->in_flight() > 0) {
+      broken.push_back("an entry has requests in flight at the end");
     }
   }
   return broken;
--- a/src/trial/testing/crash_trial_test.cc
+++ b/src/trial/testing/crash_trial_test.cc
@@ -1,4 +1,5 @@
-// Requests that end engines are kept from a fleet of any size, and nothing else is.
+// Tests that requests that crash engines are quarantined in fleets of any size, and that harmless
+// requests are not.
 
 #define BOOST_TEST_MODULE crash_trial
 #include <boost/test/unit_test.hpp>
@@ -10,20 +11,20 @@
 namespace gullward {
 namespace {
 
-// The users' bound: retries that reach engines once three have ended and gateways have had
-// the time to hear of it.
-constexpr uint64_t kMostSentAfter = 3;
-// Contents that come at once; each shows itself by ending three engines.
-constexpr uint64_t kEnginesEach = Quarantine::kMinCrashes;
+// The users' bound: requests with a crashing content that still reach engines after the content
+// has crashed three engines and gateways have had the time to receive the crash reports.
+constexpr uint64_t kMaxSentAfter = 3;
+// Crashes that it takes to quarantine one content.
+constexpr uint64_t kCrashesPerContent = Quarantine::kMinCrashes;
 
 struct Size {
   size_t gateways;
   size_t engines;
   int seeds;
-  Duration length;
+  Duration duration;
 };
 
-// The small sites, the grown ones, the large one, and beyond.
+// The users' small sites, these after growth, the largest site, and a fleet three times as large.
 const Size kSizes[] = {{5, 18, 4, seconds(40)},
                        {28, 100, 1, seconds(20)},
                        {103, 150, 1, seconds(12)},
@@ -36,7 +37,7 @@
       for (int seed = 1; seed <= size.seeds; ++seed) {
         CrashTrialOptions options = condition.options;
         options.seed = static_cast<uint64_t>(seed);
-        options.length = size.length;
+        options.duration = size.duration;
         BOOST_TEST_CONTEXT(size.gateways << " gateways, " << condition.name << ", seed " << seed) {
           check(options, PlayCrashes(options));
         }
@@ -45,60 +46,64 @@
   }
 }
 
-// Where forty contents end engines at once, one innocent content in a thousand or more is lost
-// with three engines in a row before their real causes have shown themselves.
+// Checks that no harmless content is quarantined or refused.  With forty crashing contents at
+// once, one harmless content in a thousand is allowed: it may have run on three engines in a row
+// that crashed, before the contents that caused the crashes were identified.
 void CheckInnocent(const CrashTrialOptions& options, const CrashTrialResult& result) {
   constexpr size_t kManyAtOnce = 40;
-  uint64_t most = options.deadly >= kManyAtOnce ? result.innocent_requests / 1000 + 1 : 0;
-  BOOST_TEST(result.innocent_quarantined <= most);
-  BOOST_TEST(result.innocent_refused <= most);
+  uint64_t most =
+      options.crashing_contents >= kManyAtOnce ? result.harmless_requests / 1000 + 1 : 0;
+  BOOST_TEST(result.harmless_quarantined <= most);
+  BOOST_TEST(result.harmless_refused <= most);
 }
 
-BOOST_AUTO_TEST_CASE(TheBoundIsKeptAtEverySizeAndNothingElseIsTakenForIt) {
+BOOST_AUTO_TEST_CASE(BoundHoldsAndOnlyCrashingContentsAreRefusedAtEverySize) {
   ForAll([](const CrashTrialOptions& options, const CrashTrialResult& result) {
-    BOOST_TEST(result.most_sent_after <= kMostSentAfter);
-    // Twice what cannot be had for less: attempts that are under way, and company.
-    BOOST_TEST(result.engines_ended <= 2 * kEnginesEach * options.deadly);
+    BOOST_TEST(result.max_sent_after <= kMaxSentAfter);
+    // Twice the minimum: further engines crash under attempts that are already running, and
+    // contents that run on the same engine delay the decision.
+    BOOST_TEST(result.engines_crashed <= 2 * kCrashesPerContent * options.crashing_contents);
     CheckInnocent(options, result);
   });
 }
 
-// Racks that end under a content that many send at once are no work of that content.
-BOOST_AUTO_TEST_CASE(RacksAloneLeadToNoQuarantine) {
+// Rack failures hit many engines that run the same popular content.  They must not be attributed
+// to that content.
+BOOST_AUTO_TEST_CASE(RackFailuresAloneCauseNoQuarantine) {
   CrashTrialOptions options;
-  options.deadly = 0;
+  options.crashing_contents = 0;
   options.hot_share = 1;
-  options.rack_every = seconds(3);
+  options.rack_crash_interval = seconds(3);
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     options.seed = seed;
     CrashTrialResult result = PlayCrashes(options);
-    BOOST_TEST(result.innocent_refused == 0);
-    BOOST_TEST(result.innocent_quarantined == 0);
+    BOOST_TEST(result.harmless_refused == 0);
+    BOOST_TEST(result.harmless_quarantined == 0);
   }
 }
 
-// Without the quarantine the bound is broken, so the trial can show it.
-BOOST_AUTO_TEST_CASE(WithoutTheQuarantineTheBoundIsBroken) {
+// Without the quarantine the bound is violated, which shows that the trial can detect that.
+BOOST_AUTO_TEST_CASE(WithoutQuarantineTheBoundIsViolated) {
   CrashTrialOptions options;
   options.quarantine = false;
   CrashTrialResult result = PlayCrashes(options);
-  BOOST_TEST(result.most_sent_after > 10 * kMostSentAfter);
-  BOOST_TEST(result.engines_ended > 100);
+  BOOST_TEST(result.max_sent_after > 10 * kMaxSentAfter);
+  BOOST_TEST(result.engines_crashed > 100);
 }
 
-// What one gateway sends for one content does not grow with the fleet.
-BOOST_AUTO_TEST_CASE(TheNewsCostsAGatewayTheSameInALargeFleet) {
+// The gossip that one gateway sends about one content does not grow with the fleet.
+BOOST_AUTO_TEST_CASE(GossipPerGatewayDoesNotGrowWithTheFleet) {
   CrashTrialOptions few;
   few.gateways = 30;
   few.engines = 150;
-  few.length = seconds(12);
+  few.duration = seconds(12);
   CrashTrialOptions many = few;
   many.gateways = 300;
   BOOST_TEST(PlayCrashes(many).datagrams_per_gateway <=
              1.5 * PlayCrashes(few).datagrams_per_gateway);
 }
 
-BOOST_AUTO_TEST_CASE(ARunDependsOnItsOptionsOnly) {
+BOOST_AUTO_TEST_CASE(RunsAreDeterministic) {
   CrashTrialOptions options;
   BOOST_TEST((PlayCrashes(options) == PlayCrashes(options)));
 }
--- a/src/trial/testing/fault_matrix_test.cc
+++ b/src/trial/testing/fault_matrix_test.cc
@@ -1,13 +1,14 @@
-// The fault matrix: every fault at every step of a request's life.
+// The fault matrix: injects every fault at every step of a request.
 //
-// A cell is a kind of request, a step of its life and a fault.  It runs a fleet
-// of two entries and three endpoint boxes, brings a request to the step, strikes
-// with the fault, lets everything heal, and then checks the promises: the request
-// ended within its stated time, its answer is the whole one, "not run" is true,
-// what may not be repeated was started at most once, and no memory is held.
+// A case is a kind of request, a step and a fault.  It runs a fleet of two entries and five
+// endpoints, one of them in front of the plain service.  It waits until the request has reached
+// the step, injects the fault, waits until the fault has ended, and then checks the guarantees:
+// the request ended by its deadline, its answer is complete, a request that was reported as not
+// run was not started, a request that may not be repeated was started at most once, and no memory
+// is held.
 //
-// docs/FAULTS.md shows the table with what became of the request in each cell;
-// the test compares it, and writes it anew with GULLWARD_UPDATE_GOLDEN=1.
+// docs/FAULTS.md contains the table with the outcome of each case.  The test compares it, and
+// rewrites it if GULLWARD_UPDATE_GOLDEN=1 is set.
 
 #define BOOST_TEST_MODULE fault_matrix
 #include <boost/test/unit_test.hpp>
@@ -77,7 +78,7 @@
 
 // ----------------------------------------------------------------------- steps
 
-// A step is reached when its watcher sees the action that marks it.
+// Steps of a request.  A step is reached when Watcher sees the corresponding action of a core.
 enum class Step {
   kBeforeSubmit,
   kOfferSent,
@@ -100,7 +101,7 @@
 
 constexpr int kMidStreamChunk = 5;
 
-// Notes when the step is reached and at which endpoint.
+// Records when the step is reached and at which endpoint.
 struct Watcher {
   Step step;
   bool reached = false;
@@ -121,20 +122,21 @@
 
   void OnEndpointAction(const EndpointAction& action, size_t from) {
     if (this->reached) return;
-    bool starts = std::holds_alternative<StartOnEngine>(action) ||
-                  std::holds_alternative<CallService>(action);
-    bool chunk = false;
-    bool done = false;
+    bool is_start = std::holds_alternative<StartOnEngine>(action) ||
+                    std::holds_alternative<CallService>(action);
+    bool is_chunk = false;
+    bool is_done = false;
     if (const auto* send = std::get_if<SendToPeer>(&action)) {
-      chunk = std::holds_alternative<Chunk>(send->message);
-      done = std::holds_alternative<Done>(send->message);
+      is_chunk = std::holds_alternative<Chunk>(send->message);
+      is_done = std::holds_alternative<Done>(send->message);
     }
-    if (chunk) ++this->chunks;
-    bool now = (this->step == Step::kStarted && starts) ||
-               (this->step == Step::kFirstChunk && chunk) ||
-               (this->step == Step::kMidStream && chunk && this->chunks == kMidStreamChunk) ||
-               (this->step == Step::kLastMessage && done);
-    if (!now) return;
+    if (is_chunk) ++this->chunks;
+    bool is_reached_now =
+        (this->step == Step::kStarted && is_start) ||
+        (this->step == Step::kFirstChunk && is_chunk) ||
+        (this->step == Step::kMidStream && is_chunk && this->chunks == kMidStreamChunk) ||
+        (this->step == Step::kLastMessage && is_done);
+    if (!is_reached_now) return;
     this->reached = true;
     this->endpoint = from;
   }
@@ -144,8 +146,8 @@
 
 struct Fault {
   std::string name;
-  // Strikes; `at` is the endpoint where the request is.
-  std::function<void(Simulation* simulation, size_t at, size_t call)> strike;
+  // Injects the fault; `at` is the endpoint that has the request.
+  std::function<void(Simulation* simulation, size_t at, size_t call)> inject;
 };
 
 bool HasEngine(Simulation* simulation, size_t at) {
@@ -164,7 +166,7 @@
        }},
       {"engine_cuts_stream",
        [](Simulation* simulation, size_t at, size_t) {
-         if (HasEngine(simulation, at)) simulation->CutStreams(at, 0);
+         if (HasEngine(simulation, at)) simulation->AbortStreams(at, 0);
        }},
       {"engine_slow",
        [](Simulation* simulation, size_t at, size_t) {
@@ -181,9 +183,9 @@
       {"entry_drains", [](Simulation* simulation, size_t, size_t) { simulation->DrainEntry(0); }},
       {"endpoint_drains",
        [](Simulation* simulation, size_t at, size_t) { simulation->DrainEndpoint(at); }},
-      {"link_cut", [](Simulation* simulation, size_t at, size_t) { simulation->CutLink(0, at); }},
+      {"link_cut", [](Simulation* simulation, size_t at, size_t) { simulation->ResetLink(0, at); }},
       {"link_silent", [](Simulation* simulation, size_t at,
-                         size_t) { simulation->SilenceLink(0, at, seconds(8)); }},
+                         size_t) { simulation->PartitionLink(0, at, seconds(8)); }},
       {"entry_dies",
        [](Simulation* simulation, size_t, size_t) {
          simulation->KillEntry(0);
@@ -193,7 +195,7 @@
       {"entry_paused", [](Simulation* simulation, size_t,
                           size_t) { simulation->PauseEntry(0, milliseconds(4500)); }},
       {"caller_leaves",
-       [](Simulation* simulation, size_t, size_t call) { simulation->CallerLeaves(call); }},
+       [](Simulation* simulation, size_t, size_t call) { simulation->DisconnectCaller(call); }},
       {"log_down",
        [](Simulation* simulation, size_t, size_t) {
          simulation->SetLogDown(true);
@@ -212,17 +214,17 @@
 
 // ------------------------------------------------------------------------ cells
 
-// What became of the request: F finished; N failed, not run; U failed, unknown
-// whether it ran; Y failed, ran; G the caller had gone or its entry had died.
+// The outcome of the request: F finished; N failed, not run; U failed, unknown whether it ran;
+// Y failed, ran; G the caller had disconnected or its entry was killed.
 char OutcomeOf(const Call& call) {
   if (call.finished) return 'F';
-  if (call.gone || call.broken) return 'G';
+  if (call.disconnected || call.broken) return 'G';
   if (call.failure.ran == Ran::kNo) return 'N';
   return call.failure.ran == Ran::kUnknown ? 'U' : 'Y';
 }
 
-// Runs one cell; returns what was broken.
-std::vector<std::string> RunCell(const Kind& kind, Step step, const Fault& fault, char* outcome) {
+// Runs one case; returns one line for each guarantee that was broken.
+std::vector<std::string> RunCase(const Kind& kind, Step step, const Fault& fault, char* outcome) {
   SimulationOptions options;
   options.entries = 2;
   options.endpoints = 5;
@@ -234,55 +236,58 @@
   simulation.RunFor(seconds(1));
   Watcher watcher{step};
   size_t call = 0;
-  bool struck = false;
-  auto strike = [&] {
-    if (struck || !watcher.reached) return;
-    struck = true;
+  bool was_injected = false;
+  auto inject = [&] {
+    if (was_injected || !watcher.reached) return;
+    was_injected = true;
     size_t at = watcher.endpoint;
-    // After the action under way, not inside it.
+    // Injects the fault after the current action, not inside it.
     simulation.At(simulation.now(),
-                  [&simulation, &fault, at, call] { fault.strike(&simulation, at, call); });
+                  [&simulation, &fault, at, call] { fault.inject(&simulation, at, call); });
   };
   simulation.on_entry_action = [&](const EntryAction& action) {
     watcher.OnEntryAction(action);
-    strike();
+    inject();
   };
-  size_t acting = 0;
+  size_t acting_index = 0;
   simulation.on_endpoint_action = [&](const EndpointAction& action) {
-    acting = simulation.acting_endpoint();
-    watcher.OnEndpointAction(action, acting);
-    strike();
+    acting_index = simulation.acting_endpoint();
+    watcher.OnEndpointAction(action, acting_index);
+    inject();
   };
   if (step == Step::kBeforeSubmit) {
-    // The service's box is the last; the others stand for themselves.
+    // The plain service is behind the last endpoint.  Other requests have no endpoint yet, so the
+    // fault hits the first one.
     watcher.endpoint = kind.name == "service" ? options.endpoints - 1 : 0;
     watcher.reached = true;
     call = simulation.Submit(0, kind.make());
-    struck = true;
+    was_injected = true;
     size_t at = watcher.endpoint;
-    fault.strike(&simulation, at, call);
+    fault.inject(&simulation, at, call);
   } else {
     call = simulation.Submit(0, kind.make());
   }
-  // Faults heal within ten seconds; the longest stated time is a minute.
+  // Faults end within ten seconds; the longest timeout of a request is a minute.
   simulation.RunFor(seconds(90));
   std::vector<std::string> broken = simulation.CheckInvariants(/*quiet=*/true);
-  if (!struck && step != Step::kMidStream) broken.push_back("the step was never reached");
+  if (!was_injected && step != Step::kMidStream)
+    broken.push_back("the request never reached the step");
   const Call& result = simulation.call(call);
   *outcome = OutcomeOf(result);
   if (!result.ended) broken.push_back("the request never ended");
-  bool calm_for_it = fault.name == "log_down" && kind.name != "keyed";
-  calm_for_it = calm_for_it || fault.name == "engine_slow" || fault.name == "endpoint_drains";
-  calm_for_it = calm_for_it || fault.name == "entry_drains";
-  // Before the start a drained place may refuse, as not run.
+  bool must_not_cut_off = fault.name == "log_down" && kind.name != "keyed";
+  must_not_cut_off =
+      must_not_cut_off || fault.name == "engine_slow" || fault.name == "endpoint_drains";
+  must_not_cut_off = must_not_cut_off || fault.name == "entry_drains";
+  // A draining entry or endpoint may refuse a request that has not started, as not run.
   bool refused = !result.finished && result.failure.ran == Ran::kNo;
-  if (calm_for_it && !refused && !result.finished) {
+  if (must_not_cut_off && !refused && !result.finished) {
     broken.push_back(std::string("a request was cut off: ") + Info(result.failure.code).name);
   }
-  // One fault leaves three good engines: a repeatable request must get through.
-  bool alone = fault.name != "entry_dies" && fault.name != "caller_leaves" &&
-               fault.name != "all_engines_die";
-  if (kind.name == "short" && alone && !result.finished && !refused) {
+  // Other faults leave three working engines, so a repeatable request must succeed.
+  bool leaves_good_engines = fault.name != "entry_dies" && fault.name != "caller_leaves" &&
+                             fault.name != "all_engines_die";
+  if (kind.name == "short" && leaves_good_engines && !result.finished && !refused) {
     broken.push_back(std::string("a repeatable request failed: ") + Info(result.failure.code).name);
   }
   return broken;
@@ -297,7 +302,7 @@
   return text.str();
 }
 
-// Replaces the table in the page; it stands between two marks.
+// Replaces the table in the page, between the two marker comments.
 void WriteTable(const std::string& table) {
   std::string page = ReadPage();
   const std::string begin = "<!-- fault_matrix_test begin -->\n";
@@ -317,7 +322,7 @@
       table += " ";
       for (const Kind& kind : Kinds()) {
         char outcome = '?';
-        for (const std::string& broken : RunCell(kind, step, fault, &outcome)) {
+        for (const std::string& broken : RunCase(kind, step, fault, &outcome)) {
           BOOST_ERROR(kind.name << " " << step_name << " " << fault.name << ": " << broken);
         }
         table += outcome;
@@ -327,7 +332,8 @@
     table += "\n";
   }
   if (std::getenv("GULLWARD_UPDATE_GOLDEN") != nullptr) WriteTable(table);
-  BOOST_TEST(ReadPage().find(table) != std::string::npos, "docs/FAULTS.md has another table");
+  BOOST_TEST(ReadPage().find(table) != std::string::npos,
+             "docs/FAULTS.md does not contain the table of this run");
 }
 
 }  // namespace
--- a/src/trial/testing/limit_trial_test.cc
+++ b/src/trial/testing/limit_trial_test.cc
@@ -1,5 +1,5 @@
-// Engines in need get no more than the users allow, from fleets of any size and whatever
-// befalls these, and what they are ready to take is used.
+// Tests that engines that state a limit receive no more requests than the users' bound allows,
+// from fleets of any size and under all faults, and that the allowed rate is used.
 
 #define BOOST_TEST_MODULE limit_trial
 #include <boost/test/unit_test.hpp>
@@ -14,9 +14,10 @@
   size_t gateways;
   size_t engines;
   int seeds;
-  // How long the need lasts, and a divisor of the requests: large fleets take long to play.
-  Duration need;
-  double slower;
+  // How long the limit is in force, and a divisor of the request rate, since large fleets take
+  // long to simulate.
+  Duration limit_duration;
+  double rate_divisor;
 };
 
 const Size kSizes[] = {{5, 18, 2, seconds(30), 1},
@@ -26,52 +27,53 @@
 
 LimitTrialOptions Sized(const LimitCondition& condition, const Size& size, int seed) {
   LimitTrialOptions options = condition.options;
-  options.need_from = seconds(1);
-  options.need_to = options.need_from + size.need;
-  options.length = options.need_to + seconds(1);
-  options.requests_per_s /= size.slower;
+  options.limited_from = seconds(1);
+  options.limited_until = options.limited_from + size.limit_duration;
+  options.duration = options.limited_until + seconds(1);
+  options.requests_per_s /= size.rate_divisor;
   options.seed = static_cast<uint64_t>(seed);
   return options;
 }
 
-BOOST_AUTO_TEST_CASE(TheBoundIsKeptAtEverySize) {
+BOOST_AUTO_TEST_CASE(BoundHoldsAtEverySize) {
   for (const Size& size : kSizes) {
     for (const LimitCondition& condition : LimitConditions(size.gateways, size.engines)) {
       for (int seed = 1; seed <= size.seeds; ++seed) {
         BOOST_TEST_CONTEXT(size.gateways << " gateways, " << condition.name << ", seed " << seed) {
-          BOOST_TEST(PlayLimits(Sized(condition, size, seed)).most_of_allowed <= 1.0);
+          BOOST_TEST(PlayLimits(Sized(condition, size, seed)).max_of_allowed <= 1.0);
         }
       }
     }
   }
 }
 
-// Without it the bound is broken, so the trial can show it.
-BOOST_AUTO_TEST_CASE(WithoutFollowingNoticesTheBoundIsBroken) {
+// If gateways ignore notices, the bound is violated, which shows that the trial can detect that.
+BOOST_AUTO_TEST_CASE(WithoutFollowingNoticesTheBoundIsViolated) {
   for (size_t gateways : {5, 30}) {
     LimitTrialOptions options;
     options.gateways = gateways;
     options.engine_notices = false;
-    BOOST_TEST(PlayLimits(options).most_of_allowed > 2.0);
+    BOOST_TEST(PlayLimits(options).max_of_allowed > 2.0);
   }
 }
 
-// Where all engines are in need and callers want more than they take together, what they are
-// ready to take is used: at least half where one gateway in turn is always down.
-BOOST_AUTO_TEST_CASE(WhatEnginesAreReadyToTakeIsUsed) {
+// All engines state a limit and callers send more than all limits together.  At least 90 % of the
+// allowed rate must be used, and at least half if one gateway in turn is always down.
+BOOST_AUTO_TEST_CASE(AllowedRateIsUsed) {
   LimitTrialOptions busy;
   busy.limited_share = 1;
   busy.requests_per_s = 40;
   BOOST_TEST(PlayLimits(busy).limit_used >= 0.9);
   LimitTrialOptions killed = busy;
-  killed.kill_every = seconds(2);
+  killed.kill_interval = seconds(2);
   BOOST_TEST(PlayLimits(killed).limit_used >= 0.5);
 }
 
-// Those who send an engine nothing hear of the end of its need from those who do.
-BOOST_AUTO_TEST_CASE(TheEndOfTheNeedIsToldToAll) {
+// Gateways that send no requests to an engine receive the end of its limit from the gateways that
+// do.
+BOOST_AUTO_TEST_CASE(AllGatewaysReceiveTheEndOfALimit) {
   LimitTrialOptions options;
-  // One engine in need is always asked, since callers want all that there is.
+  // The only engine is limited, so all requests go to it while its limit allows any.
   options.engines = 1;
   options.limited_share = 1;
   options.gateways = 30;
@@ -81,7 +83,7 @@
   BOOST_TEST(result.lifted_after_ms <= 5000);
 }
 
-BOOST_AUTO_TEST_CASE(WhatAGatewayTellsDoesNotGrowWithTheFleet) {
+BOOST_AUTO_TEST_CASE(NoticeBytesPerGatewayDoNotGrowWithTheFleet) {
   LimitTrialOptions few;
   few.gateways = 30;
   few.engines = 60;
@@ -91,10 +93,10 @@
   BOOST_TEST(PlayLimits(many).bytes_per_s <= 1.6 * PlayLimits(few).bytes_per_s);
 }
 
-BOOST_AUTO_TEST_CASE(ARunDependsOnItsOptionsOnly) {
+BOOST_AUTO_TEST_CASE(RunsAreDeterministic) {
   LimitTrialOptions options;
-  options.need_to = seconds(15);
-  options.length = seconds(20);
+  options.limited_until = seconds(15);
+  options.duration = seconds(20);
   BOOST_TEST((PlayLimits(options) == PlayLimits(options)));
 }
 
--- a/src/trial/testing/session_test.cc
+++ b/src/trial/testing/session_test.cc
@@ -1,8 +1,8 @@
-// Whole sessions between the cores, line by line, against golden files.
+// Compares whole sessions between the cores with golden files, line by line.
 //
-// Each line is a message or a call with the time at which it was sent.  A change
-// of the files is a change of behaviour: run with GULLWARD_UPDATE_GOLDEN=1 to
-// write them anew, and read the difference before it is committed.
+// Each line is a message or a call with the time at which it was sent.  A difference means that
+// behaviour has changed.  Run the test with GULLWARD_UPDATE_GOLDEN=1 to rewrite the files, and
+// review the difference before you commit it.
 
 #define BOOST_TEST_MODULE session
 #include <boost/test/unit_test.hpp>
@@ -68,7 +68,7 @@
          size_t call = simulation->Submit(0, BasicRequest(500, 6, 1));
          simulation->RunUntilTrue([&] { return simulation->call(call).text.size() >= 10; },
                                   seconds(5));
-         for (size_t i = 0; i < 3; ++i) simulation->CutStreams(i, 0);
+         for (size_t i = 0; i < 3; ++i) simulation->AbortStreams(i, 0);
          simulation->RunFor(seconds(2));
        }},
       {"endpoint_drains_with_work_waiting",
@@ -93,7 +93,7 @@
   return text.str();
 }
 
-BOOST_AUTO_TEST_CASE(SessionsRunAsTheGoldenFilesSay) {
+BOOST_AUTO_TEST_CASE(SessionsMatchTheGoldenFiles) {
   for (const Session& session : Sessions()) {
     Simulation simulation(Options());
     simulation.Publish(BasicConfig());
