--- a/src/gateway/testing/catch_up_test.cc
+++ b/src/gateway/testing/catch_up_test.cc
@@ -58,18 +58,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(WhoSaysThatItIsCurrentHasTheNewestVersion) {
-  for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
+  for (StoreFault trouble : {StoreFault::kSilent, StoreFault::kBusy, StoreFault::kReset}) {
     GatewayFixtureOptions options;
     options.key_trust = milliseconds(600);
     GatewayFixture world(options);
     world.Publish(LargeConfig(world, 1));
     world.StartGateway();
-    world.store.SetTrouble(trouble);
+    world.store.SetFault(trouble);
     BOOST_TEST_REQUIRE(world.RunUntil([&] { return !world.gateway->IsReady(); }));
     for (int version = 2; version <= kMissed; ++version) {
       world.Publish(LargeConfig(world, version));
     }
-    world.store.SetTrouble(StoreTrouble::kNone);
+    world.store.SetFault(StoreFault::kNone);
     BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.gateway->IsReady(); }));
     BOOST_TEST(world.Call(RequestFor(world, kMissed)).head.status == 200);
   }
@@ -126,9 +126,9 @@
   follower.Publish(1);
   follower.follower.Start();
   BOOST_TEST_REQUIRE(follower.RunUntilCurrent());
-  follower.store.SetTrouble(StoreTrouble::kReset);
+  follower.store.SetFault(StoreFault::kReset);
   for (int version = 2; version <= kMissed; ++version) follower.Publish(version);
-  follower.store.SetTrouble(StoreTrouble::kNone);
+  follower.store.SetFault(StoreFault::kNone);
   uint64_t before = follower.store.bytes_answered();
   BOOST_TEST(follower.RunUntilCurrent());
   BOOST_TEST(follower.store.bytes_answered() - before <= kMostVersionsRead * kVersionBytes);
@@ -159,10 +159,10 @@
   follower.Publish(1);
   follower.follower.Start();
   BOOST_TEST_REQUIRE(follower.RunUntilCurrent());
-  follower.store.SetTrouble(StoreTrouble::kReset);
+  follower.store.SetFault(StoreFault::kReset);
   follower.store.Put(kConfigTopic, "key-7", "changed");
   follower.Publish(2);
-  follower.store.SetTrouble(StoreTrouble::kNone);
+  follower.store.SetFault(StoreFault::kNone);
   follower.taken = 0;
   BOOST_TEST(follower.RunUntilCurrent());
   BOOST_TEST(follower.taken == 2);
--- a/src/gateway/testing/config_from_peers_test.cc
+++ b/src/gateway/testing/config_from_peers_test.cc
@@ -76,11 +76,11 @@
 };
 
 BOOST_AUTO_TEST_CASE(WhatTheStoreWithholdsAPeerHandsOn) {
-  for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
+  for (StoreFault trouble : {StoreFault::kSilent, StoreFault::kBusy, StoreFault::kReset}) {
     GatewayFixtureOptions options;
     options.key_trust = seconds(4);
     TwoStores stores(options);
-    stores.copy.SetTrouble(trouble);
+    stores.copy.SetFault(trouble);
     stores.Publish(2);
     BOOST_TEST(stores.world.RunUntil([&] { return stores.StatusFor(2) == 200; }));
     // Longer than the keys of its own last proof hold.
@@ -94,7 +94,7 @@
   options.key_trust = seconds(2);
   options.mechanisms.config_from_peers = false;
   TwoStores stores(options);
-  stores.copy.SetTrouble(StoreTrouble::kBusy);
+  stores.copy.SetFault(StoreFault::kBusy);
   stores.Publish(2);
   BOOST_TEST(stores.world.RunUntil([&] { return !stores.world.more_gateways[0]->IsReady(); }));
   BOOST_TEST(stores.StatusFor(2) == 503);
--- a/src/gateway/testing/crashing_request_test.cc
+++ b/src/gateway/testing/crashing_request_test.cc
@@ -36,7 +36,7 @@
 // Returns a started fixture whose engines restart 300 ms after a crash.
 std::unique_ptr<GatewayFixture> StartedFixture(int engines = 12) {
   GatewayFixtureOptions options{.engines = engines};
-  options.engine.ends_it = CrashesEngines;
+  options.engine.crashes_engine = CrashesEngines;
   auto fixture = std::make_unique<GatewayFixture>(options);
   fixture->RestartEnginesAfter(milliseconds(300));
   fixture->Publish(fixture->DefaultConfig());
@@ -132,13 +132,15 @@
       std::string id = absl::StrCat("round-", round, "-", i);
       replies.push_back(fixture->Send(fixture->StreamRequest(id, "", "harmless")));
     }
-    auto on = [](const EngineStandin& engine) { return engine.is_up() && !engine.seen().empty(); };
+    auto on = [](const EngineStandin& engine) {
+      return engine.is_up() && !engine.received().empty();
+    };
     fixture->RunUntil([&] {
       return std::any_of(fixture->engines.begin(), fixture->engines.end(),
                          [&](const auto& one) { return on(*one); });
     });
     for (size_t i = 0; i < 4; ++i) {
-      if (fixture->engines[i]->is_up()) fixture->engines[i]->End();
+      if (fixture->engines[i]->is_up()) fixture->engines[i]->Crash();
     }
     for (const auto& reply : replies) {
       BOOST_REQUIRE(fixture->RunUntil([&] { return reply->done; }));
--- a/src/gateway/testing/engine_leaving_test.cc
+++ b/src/gateway/testing/engine_leaving_test.cc
@@ -48,16 +48,16 @@
 // Returns the engine that a gateway without load chooses first for a short request.
 EngineStandin& FirstInOrder(GatewayFixture* fixture) {
   BOOST_REQUIRE(fixture->Call(fixture->StreamRequest("first")).head.status == 200);
-  auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
+  auto has_seen = [](const auto& engine) { return !engine->received().empty(); };
   return **std::find_if(fixture->engines.begin(), fixture->engines.end(), has_seen);
 }
 
 // Makes the engine state its leaving in an answer through the first gateway.
 void LetReport(GatewayFixture* fixture, EngineStandin* engine) {
-  engine->Say(kLeaving);
-  size_t before = engine->seen().size();
+  engine->SetNotice(kLeaving);
+  size_t before = engine->received().size();
   BOOST_REQUIRE(fixture->Call(fixture->StreamRequest("told")).head.status == 200);
-  BOOST_REQUIRE(engine->seen().size() == before + 1);
+  BOOST_REQUIRE(engine->received().size() == before + 1);
 }
 
 bool AllServed(const std::vector<std::shared_ptr<Reply>>& replies) {
@@ -69,9 +69,9 @@
   auto fixture = StartedFixture({.engines = 2});
   EngineStandin& leaving = FirstInOrder(fixture.get());
   LetReport(fixture.get(), &leaving);
-  size_t seen_before = leaving.seen().size();
+  size_t seen_before = leaving.received().size();
   BOOST_TEST(AllServed(SendMany(fixture.get(), 20, "more")));
-  BOOST_TEST(leaving.seen().size() == seen_before);
+  BOOST_TEST(leaving.received().size() == seen_before);
 }
 
 // An entry that expires in an outage may be listed again as ready, and copies of the list may be
@@ -80,14 +80,14 @@
   auto fixture = StartedFixture({.engines = 2});
   EngineStandin& leaving = FirstInOrder(fixture.get());
   LetReport(fixture.get(), &leaving);
-  size_t seen_before = leaving.seen().size();
+  size_t seen_before = leaving.received().size();
   size_t usable = fixture->gateway->UsableEngines();
   fixture->store.Remove("keyed.servers", leaving.id());
   BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->UsableEngines() == usable - 1; }));
   fixture->ListEngine(leaving, "models");
   BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->UsableEngines() == usable; }));
   SendMany(fixture.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == seen_before);
+  BOOST_TEST(leaving.received().size() == seen_before);
 }
 
 // The same holds for a leaving that the engine list has announced.
@@ -98,7 +98,7 @@
   auto is_unusable = [&] { return fixture->gateway->UsableEngines() == usable - 1; };
   fixture->ListEngine(leaving, "models", /*draining=*/true);
   BOOST_REQUIRE(fixture->RunUntil(is_unusable));
-  size_t seen_before = leaving.seen().size();
+  size_t seen_before = leaving.received().size();
   fixture->store.Remove("keyed.servers", leaving.id());
   fixture->ListEngine(leaving, "models");
   // A later entry: once the gateway has read it, it has read the entry above too.
@@ -108,19 +108,19 @@
   fixture->store.Remove("keyed.servers", next.id);
   BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->UsableEngines() < usable; }));
   SendMany(fixture.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == seen_before);
+  BOOST_TEST(leaving.received().size() == seen_before);
 }
 
 BOOST_AUTO_TEST_CASE(ALeavingEngineGetsNoRetries) {
   auto fixture = StartedFixture({.engines = 2});
   EngineStandin& leaving = FirstInOrder(fixture.get());
   LetReport(fixture.get(), &leaving);
-  size_t seen_before = leaving.seen().size();
+  size_t seen_before = leaving.received().size();
   for (const auto& engine : fixture->engines) {
     if (engine.get() != &leaving) engine->FailAll(EngineFault::kNotRun);
   }
   SendMany(fixture.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == seen_before);
+  BOOST_TEST(leaving.received().size() == seen_before);
 }
 
 BOOST_AUTO_TEST_CASE(CallersAreRefusedAtOnceIfAllEnginesLeave) {
@@ -137,14 +137,14 @@
 // prompt for another.
 BOOST_AUTO_TEST_CASE(ALeavingEngineIsNoReader) {
   auto fixture = StartedFixture({.engines = 3});
-  for (const auto& engine : fixture->engines) engine->Say(kLeaving);
+  for (const auto& engine : fixture->engines) engine->SetNotice(kLeaving);
   // Each request reaches an engine whose leaving is not known yet.
   for (int i = 0; i < 3; ++i) fixture->Call(fixture->StreamRequest(absl::StrCat("told-", i)));
   std::string request = fixture->StreamRequest("vast");
   request.replace(request.find("1000,80"), 7, "200000,80");
   fixture->Call(request);
   for (const auto& engine : fixture->engines) {
-    for (const EngineStandin::Seen& seen : engine->seen()) {
+    for (const EngineStandin::ReceivedRequest& seen : engine->received()) {
       BOOST_TEST(!FindHeader(seen.request.head.headers, platform::kReaders));
     }
   }
@@ -154,11 +154,11 @@
   auto fixture = StartedFixture({.engines = 2}, /*gateways=*/2);
   EngineStandin& leaving = FirstInOrder(fixture.get());
   LetReport(fixture.get(), &leaving);
-  size_t seen_before = leaving.seen().size();
+  size_t seen_before = leaving.received().size();
   BOOST_REQUIRE(
       fixture->RunUntil([&] { return fixture->more_gateways[0]->engines_leaving() == 1; }));
   SendMany(fixture.get(), 20, "more");
-  BOOST_TEST(leaving.seen().size() == seen_before);
+  BOOST_TEST(leaving.received().size() == seen_before);
 }
 
 // The engine's end is planned, though its entry still says that it is ready, so no request that ran
@@ -170,16 +170,16 @@
   auto running = fixture->Send(fixture->StreamRequest("running"));
   auto runs_on = [&]() -> EngineStandin* {
     for (const auto& engine : fixture->engines) {
-      if (!engine->seen().empty()) return engine.get();
+      if (!engine->received().empty()) return engine.get();
     }
     return nullptr;
   };
   BOOST_REQUIRE(fixture->RunUntil([&] { return runs_on() != nullptr && !running->body.empty(); }));
   EngineStandin& leaving = *runs_on();
-  leaving.Say(kLeaving);
+  leaving.SetNotice(kLeaving);
   auto told = fixture->Send(fixture->StreamRequest("told"));
   BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->engines_leaving() == 1; }));
-  leaving.End();
+  leaving.Crash();
   BOOST_REQUIRE(fixture->RunUntil([&] { return running->done && told->done; }));
   BOOST_TEST(running->whole());
   BOOST_TEST(fixture->gateway->suspects() == 0u);
--- a/src/gateway/testing/engine_limit_test.cc
+++ b/src/gateway/testing/engine_limit_test.cc
@@ -59,7 +59,7 @@
 // with index `first` on.
 size_t MaxInWindow(const EngineStandin& engine, size_t first) {
   size_t most = 0;
-  const std::vector<EngineStandin::Seen>& seen = engine.seen();
+  const std::vector<EngineStandin::ReceivedRequest>& seen = engine.received();
   for (size_t begin = first; begin < seen.size(); ++begin) {
     size_t end = begin;
     while (end < seen.size() && seen[end].at - seen[begin].at < kWindow) ++end;
@@ -72,7 +72,7 @@
 std::vector<EngineStandin*> Readers(const GatewayFixture& fixture) {
   std::string named;
   for (const auto& engine : fixture.engines) {
-    for (const EngineStandin::Seen& seen : engine->seen()) {
+    for (const EngineStandin::ReceivedRequest& seen : engine->received()) {
       auto readers = FindHeader(seen.request.head.headers, platform::kReaders);
       if (readers) named += std::string(*readers) + ",";
     }
@@ -98,9 +98,9 @@
   auto fixture = StartedFixture(/*engines=*/1, /*gateways=*/1);
   LetReportToAll(fixture.get());
   EngineStandin& engine = *fixture->engines[0];
-  engine.Say({.limit_per_s = kLimit});
+  engine.SetNotice({.limit_per_s = kLimit});
   LetReportToAll(fixture.get());
-  size_t first = engine.seen().size();
+  size_t first = engine.received().size();
   auto replies = SendMany(fixture.get(), 60, "more");
   BOOST_TEST(MaxInWindow(engine, first) <= kMaxInWindow);
   // Requests beyond the limit are refused at once and say when to try again.
@@ -112,9 +112,9 @@
 BOOST_AUTO_TEST_CASE(GatewaysKeepALimitTogether) {
   auto fixture = StartedFixture(/*engines=*/1, /*gateways=*/5);
   EngineStandin& engine = *fixture->engines[0];
-  engine.Say({.limit_per_s = kLimit});
+  engine.SetNotice({.limit_per_s = kLimit});
   LetReportToAll(fixture.get());
-  size_t first = engine.seen().size();
+  size_t first = engine.received().size();
   SendMany(fixture.get(), 60, "more");
   BOOST_TEST(MaxInWindow(engine, first) <= kMaxInWindow);
 }
@@ -123,11 +123,11 @@
 BOOST_AUTO_TEST_CASE(RetriesKeepALimit) {
   auto fixture = StartedFixture(/*engines=*/2, /*gateways=*/1);
   EngineStandin& limited = *fixture->engines[0];
-  limited.Say({.limit_per_s = kLimit});
+  limited.SetNotice({.limit_per_s = kLimit});
   fixture->engines[1]->FailAll(EngineFault::kNotRun);
   SendMany(fixture.get(), 2, "told");
-  BOOST_REQUIRE(!limited.seen().empty());
-  size_t first = limited.seen().size();
+  BOOST_REQUIRE(!limited.received().empty());
+  size_t first = limited.received().size();
   SendMany(fixture.get(), 60, "more");
   BOOST_TEST(MaxInWindow(limited, first) <= kMaxInWindow);
 }
@@ -137,7 +137,7 @@
   auto fixture = StartedFixture(/*engines=*/3, /*gateways=*/1);
   BOOST_REQUIRE(fixture->Call(VeryLongRequest(*fixture, "vast")).head.status == 200);
   BOOST_REQUIRE(!Readers(*fixture).empty());
-  for (const auto& engine : fixture->engines) engine->Say({.limit_per_s = kLimit});
+  for (const auto& engine : fixture->engines) engine->SetNotice({.limit_per_s = kLimit});
   // Enough requests at once for each engine to get one and to state its limit in the answer.
   std::vector<std::shared_ptr<Reply>> told;
   for (int i = 0; i < 40; ++i) {
@@ -146,10 +146,10 @@
   BOOST_REQUIRE(fixture->RunUntil([&] {
     return std::all_of(told.begin(), told.end(), [](const auto& one) { return one->done; });
   }));
-  for (const auto& engine : fixture->engines) BOOST_REQUIRE(!engine->seen().empty());
+  for (const auto& engine : fixture->engines) BOOST_REQUIRE(!engine->received().empty());
   for (int i = 0; i < 6; ++i) fixture->Call(VeryLongRequest(*fixture, absl::StrCat("vaster-", i)));
   for (const auto& engine : fixture->engines) {
-    for (const EngineStandin::Seen& seen : engine->seen()) {
+    for (const EngineStandin::ReceivedRequest& seen : engine->received()) {
       std::string id(FindHeader(seen.request.head.headers, platform::kAttemptId).value_or(""));
       bool is_later = absl::StartsWith(id, "vaster");
       BOOST_TEST((!is_later || !FindHeader(seen.request.head.headers, platform::kReaders)), id);
--- a/src/gateway/testing/engine_rest_test.cc
+++ b/src/gateway/testing/engine_rest_test.cc
@@ -44,7 +44,7 @@
 // Returns the engine of the plain service that a gateway without load chooses first.
 EngineStandin& FirstInOrder(GatewayFixture* fixture) {
   BOOST_REQUIRE(fixture->Call(fixture->SafeRequest("first")).head.status == 200);
-  auto has_seen = [](const auto& engine) { return !engine->seen().empty(); };
+  auto has_seen = [](const auto& engine) { return !engine->received().empty(); };
   return **std::find_if(fixture->apps.begin(), fixture->apps.end(), has_seen);
 }
 
@@ -54,18 +54,18 @@
 
 // Makes the engine ask the first gateway for a rest.  Returns when the rest ends.
 Time AskForRest(GatewayFixture* fixture, EngineStandin* engine) {
-  engine->Say({.rest = kRest});
-  size_t before = engine->seen().size();
+  engine->SetNotice({.rest = kRest});
+  size_t before = engine->received().size();
   fixture->Call(fixture->SafeRequest("asks"));
-  BOOST_REQUIRE(engine->seen().size() > before);
-  engine->Say({});
-  return engine->seen().back().at + kRest;
+  BOOST_REQUIRE(engine->received().size() > before);
+  engine->SetNotice({});
+  return engine->received().back().at + kRest;
 }
 
 size_t SeenBefore(const EngineStandin& engine, Time end) {
   return static_cast<size_t>(
-      std::count_if(engine.seen().begin(), engine.seen().end(),
-                    [end](const EngineStandin::Seen& seen) { return seen.at < end; }));
+      std::count_if(engine.received().begin(), engine.received().end(),
+                    [end](const EngineStandin::ReceivedRequest& seen) { return seen.at < end; }));
 }
 
 // Whether the request was refused with a time to try again that lies within the rest.
@@ -81,10 +81,10 @@
   auto fixture = StartedFixture(/*apps=*/1);
   EngineStandin& engine = *fixture->apps[0];
   Time rest_ends = AskForRest(fixture.get(), &engine);
-  size_t asked = engine.seen().size();
+  size_t asked = engine.received().size();
   auto refused = SendMany(fixture.get(), 10, "meanwhile");
   BOOST_REQUIRE(Now() < rest_ends);
-  BOOST_TEST(engine.seen().size() == asked);
+  BOOST_TEST(engine.received().size() == asked);
   for (const auto& reply : refused) BOOST_TEST(IsRefusedForTheRest(*reply));
   BOOST_REQUIRE(fixture->RunUntil([rest_ends] { return Now() > rest_ends + milliseconds(50); }));
   BOOST_TEST(fixture->Call(fixture->SafeRequest("later")).head.status == 200);
@@ -96,11 +96,11 @@
   auto fixture = StartedFixture(/*apps=*/2);
   EngineStandin& resting = FirstInOrder(fixture.get());
   Time rest_ends = AskForRest(fixture.get(), &resting);
-  size_t asked = resting.seen().size();
+  size_t asked = resting.received().size();
   Other(fixture.get(), resting).FailAll(EngineFault::kNotRun);
   SendMany(fixture.get(), 10, "meanwhile");
   BOOST_REQUIRE(Now() < rest_ends);
-  BOOST_TEST(resting.seen().size() == asked);
+  BOOST_TEST(resting.received().size() == asked);
 }
 
 // The failure that an engine has answered is forwarded and not replaced by a refusal.
@@ -120,7 +120,7 @@
 BOOST_AUTO_TEST_CASE(ATicketAtARestingEngineIsRenewedAsLateAsPossible) {
   GatewayFixtureOptions options{.engines = 2};
   options.engine.events = 60;
-  options.engine.event_every = milliseconds(60);
+  options.engine.event_interval = milliseconds(60);
   auto fixture = std::make_unique<GatewayFixture>(options);
   fixture->Publish(fixture->DefaultConfig());
   fixture->StartGateway();
@@ -136,12 +136,12 @@
   BOOST_REQUIRE(fixture->RunUntil([&] { return holder() != nullptr; }));
   EngineStandin& resting = *holder();
   EngineStandin& main = *fixture->engines[fixture->engines[0].get() == &resting ? 1 : 0];
-  BOOST_REQUIRE(fixture->RunUntil([&] { return !main.seen().empty(); }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return !main.received().empty(); }));
   main.FailAll(EngineFault::kNotRun);
-  resting.Say({.rest = kRest});
+  resting.SetNotice({.rest = kRest});
   fixture->Call(fixture->StreamRequest("asks"));
-  BOOST_REQUIRE(!resting.seen().empty());
-  Time asked = resting.seen().back().at;
+  BOOST_REQUIRE(!resting.received().empty());
+  Time asked = resting.received().back().at;
   BOOST_REQUIRE(fixture->RunUntil([&] { return running->done; }));
   BOOST_TEST(running->whole());
   BOOST_TEST(running->head.status == 200);
--- a/src/gateway/testing/engine_restart_test.cc
+++ b/src/gateway/testing/engine_restart_test.cc
@@ -32,7 +32,7 @@
 // sent at a time, so that each idle engine gets one.
 bool ServesSoon(GatewayFixture* fixture, const EngineStandin& engine) {
   constexpr int kAtOnce = 4;
-  size_t before = engine.seen().size();
+  size_t before = engine.received().size();
   int calls = 0;
   return fixture->RunUntil([&] {
     std::vector<std::shared_ptr<Reply>> replies;
@@ -41,7 +41,7 @@
       replies.push_back(fixture->Send(fixture->SafeRequest(id)));
     }
     for (const auto& reply : replies) fixture->RunUntil([&] { return reply->done; });
-    return engine.seen().size() > before;
+    return engine.received().size() > before;
   });
 }
 
@@ -51,7 +51,7 @@
   EngineStandin later(&fixture->loop, {.id = earlier.id()});
   ListIncarnation(fixture.get(), later, "app", 9);
   BOOST_TEST(ServesSoon(fixture.get(), later));
-  size_t served_by_earlier = earlier.seen().size();
+  size_t served_by_earlier = earlier.received().size();
   ListIncarnation(fixture.get(), earlier, "app", 5);
   // A later entry in the same topic: when the gateway uses this engine, it has read the earlier
   // entry too.
@@ -59,7 +59,7 @@
   ListIncarnation(fixture.get(), marker, "app", 1);
   BOOST_TEST(ServesSoon(fixture.get(), marker));
   for (int i = 0; i < 10; ++i) fixture->Call(fixture->SafeRequest(absl::StrCat("after-", i)));
-  BOOST_TEST(earlier.seen().size() == served_by_earlier);
+  BOOST_TEST(earlier.received().size() == served_by_earlier);
 }
 
 // A request that may have run before the restart must not be reported as not run after it.
@@ -68,7 +68,7 @@
   EngineStandin& engine = *fixture->apps[0];
   engine.FailNext(EngineFault::kSilent);
   std::shared_ptr<Reply> reply = fixture->Send(fixture->OnceRequest("once"));
-  BOOST_REQUIRE(fixture->RunUntil([&] { return engine.seen().size() == 1; }));
+  BOOST_REQUIRE(fixture->RunUntil([&] { return engine.received().size() == 1; }));
   EngineStandin again(&fixture->loop, {.id = engine.id()});
   ListIncarnation(fixture.get(), again, "app", 9);
   BOOST_TEST(ServesSoon(fixture.get(), again));
@@ -88,11 +88,11 @@
   EngineStandin later(&fixture->loop, {.id = earlier.id()});
   ListIncarnation(fixture.get(), later, "app", 9);
   BOOST_TEST(ServesSoon(fixture.get(), later));
-  size_t silent = earlier.seen().size();
+  size_t silent = earlier.received().size();
   for (int i = 0; i < 5; ++i) {
     BOOST_TEST(fixture->Call(fixture->SafeRequest(absl::StrCat("n-", i))).head.status == 200);
   }
-  BOOST_TEST(earlier.seen().size() == silent);
+  BOOST_TEST(earlier.received().size() == silent);
 }
 
 // An engine that has restarted holds no memory for a prompt.  A renewal of an old ticket must not
@@ -102,7 +102,7 @@
   options.engines = 2;
   // The answer takes long enough for two renewals of the ticket.
   options.engine.events = 10;
-  options.engine.event_every = milliseconds(450);
+  options.engine.event_interval = milliseconds(450);
   auto fixture = StartedFixture(options);
   std::string request = fixture->StreamRequest("vast");
   request.replace(request.find("1000,80"), 7, "400000,800");
@@ -116,7 +116,7 @@
   ListIncarnation(fixture.get(), *helper, "models", 9);
   BOOST_REQUIRE(fixture->RunUntil([&] { return fixture->gateway->engine_restarts() == 1; }));
   BOOST_REQUIRE(!reply->done);
-  helper->ForgetTickets();
+  helper->DropTickets();
   bool was_renewed = false;
   BOOST_TEST(fixture->RunUntil([&] {
     was_renewed = was_renewed || !helper->tickets().empty();
@@ -174,11 +174,11 @@
   EngineStandin& overwritten = *fixture->apps[0];
   fixture->store.Put(kEngines, overwritten.id(), "{}");
   BOOST_TEST(fixture->RunUntil([&] { return fixture->gateway->unreadable_entries() == 1; }));
-  size_t before = overwritten.seen().size();
+  size_t before = overwritten.received().size();
   for (int i = 0; i < 10; ++i) {
     BOOST_TEST(fixture->Call(fixture->SafeRequest(absl::StrCat("w-", i))).head.status == 200);
   }
-  BOOST_TEST(overwritten.seen().size() == before);
+  BOOST_TEST(overwritten.received().size() == before);
   fixture->ListEngine(overwritten, "app");
   BOOST_TEST(ServesSoon(fixture.get(), overwritten));
 }
--- a/src/gateway/testing/gateway_fixture.cc
+++ b/src/gateway/testing/gateway_fixture.cc
@@ -53,7 +53,7 @@
   for (int i = 0; i < this->options.engines; ++i) {
     EngineStandin::Options engine = this->options.engine;
     engine.id = absl::StrCat("engine-", i);
-    engine.ended = [this, number = static_cast<size_t>(i)] { this->OnEngineCrashed(number); };
+    engine.on_crash = [this, number = static_cast<size_t>(i)] { this->OnEngineCrashed(number); };
     this->engines.push_back(std::make_unique<EngineStandin>(&this->loop, engine));
     this->ListEngine(*this->engines.back(), kModels);
   }
@@ -154,7 +154,7 @@
   std::string next_id = absl::StrCat("engine-", number, "-after-", this->crashes);
   this->loop.RunAfter(*this->restart_after, [this, engine, next_id] {
     this->store.Put("keyed.servers", engine->id(), "");
-    engine->StartAgain(next_id);
+    engine->Restart(next_id);
     this->ListEngine(*engine, kModels);
   });
 }
@@ -230,7 +230,7 @@
   int runs = 0;
   auto count = [&](const std::vector<std::unique_ptr<EngineStandin>>& list) {
     for (const auto& engine : list) {
-      for (const EngineStandin::Seen& seen : engine->seen()) {
+      for (const EngineStandin::ReceivedRequest& seen : engine->received()) {
         bool same = FindHeader(seen.request.head.headers, platform::kAttemptId) == id;
         runs += same && seen.ran ? 1 : 0;
       }
--- a/src/gateway/testing/gateway_test.cc
+++ b/src/gateway/testing/gateway_test.cc
@@ -41,8 +41,8 @@
 // Returns an engine that the first request of any engine names as a reader; null if there is none.
 EngineStandin* ReaderOfFirstRequest(const GatewayFixture& fixture) {
   for (const auto& engine : fixture.engines) {
-    if (engine->seen().empty()) continue;
-    std::string helpers = HeaderOf(engine->seen().front().request.head, platform::kReaders);
+    if (engine->received().empty()) continue;
+    std::string helpers = HeaderOf(engine->received().front().request.head, platform::kReaders);
     for (const auto& other : fixture.engines) {
       if (helpers.find(other->address().ToString()) != std::string::npos) return other.get();
     }
@@ -126,7 +126,7 @@
   BOOST_TEST(fixture->RunUntil([&] {
     bool cancelled = false;
     for (auto& app : fixture->apps) {
-      for (const auto& seen : app->seen()) cancelled = cancelled || seen.cancelled;
+      for (const auto& seen : app->received()) cancelled = cancelled || seen.cancelled;
     }
     return cancelled;
   }));
@@ -150,7 +150,7 @@
   fixture->DropCallers();
   BOOST_TEST(fixture->RunUntil([&] {
     for (auto& engine : fixture->engines) {
-      for (const auto& seen : engine->seen()) {
+      for (const auto& seen : engine->received()) {
         if (seen.cancelled) return true;
       }
     }
@@ -167,7 +167,7 @@
                              "Connection: keep-alive, Model\r\n"));
   const RequestHead* head = nullptr;
   for (auto& engine : fixture->engines) {
-    if (!engine->seen().empty()) head = &engine->seen().front().request.head;
+    if (!engine->received().empty()) head = &engine->received().front().request.head;
   }
   BOOST_REQUIRE(head != nullptr);
   auto value = [&](std::string_view name) {
@@ -220,7 +220,7 @@
       BOOST_TEST(absl::StrContains(reply.body, "\"code\":"));
     }
   }
-  for (auto& app : fixture->apps) BOOST_TEST(app->seen().empty());
+  for (auto& app : fixture->apps) BOOST_TEST(app->received().empty());
 }
 
 BOOST_AUTO_TEST_CASE(APipelinedRequestWaitsForTheAnswerBeforeIt) {
@@ -255,7 +255,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(KeysAreAcceptedOnlyIfTheStoreWasReadRecently) {
-  for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
+  for (StoreFault trouble : {StoreFault::kSilent, StoreFault::kBusy, StoreFault::kReset}) {
     GatewayFixtureOptions options;
     options.key_trust = milliseconds(600);
     auto fixture = StartedFixture(options);
@@ -266,13 +266,13 @@
     std::string open = fixture->SafeRequest("open");
     open.erase(open.find("X-Api-Key: key-1\r\n"), 18);
     BOOST_TEST(fixture->RunUntil([&] { return fixture->Call(open).head.status == 200; }));
-    fixture->store.SetTrouble(trouble);
+    fixture->store.SetFault(trouble);
     BOOST_TEST(fixture->RunUntil(
         [&] { return fixture->Call(fixture->StreamRequest("cut")).head.status == 503; }));
     BOOST_TEST(!fixture->gateway->IsReady());
     // Requests that need no key are still served.
     BOOST_TEST(fixture->Call(open).head.status == 200);
-    fixture->store.SetTrouble(StoreTrouble::kNone);
+    fixture->store.SetFault(StoreFault::kNone);
     BOOST_TEST(fixture->RunUntil(
         [&] { return fixture->Call(fixture->StreamRequest("back")).head.status == 200; }));
   }
@@ -326,7 +326,7 @@
   auto fixture = StartedFixture(options);
   BOOST_TEST(fixture->RunUntil(
       [&] { return fixture->Call(fixture->StreamRequest("before")).head.status == 200; }));
-  fixture->store.SetTrouble(StoreTrouble::kSilent);
+  fixture->store.SetFault(StoreFault::kSilent);
   // Wait until after the bound, when keys with a bounded trust would have been refused.
   Time silent_since = Now();
   BOOST_TEST(fixture->RunUntil([&] { return Now() - silent_since > 2 * options.key_trust; }));
@@ -409,7 +409,7 @@
 // A large configuration on a slow link takes longer to read than a change should.
 BOOST_AUTO_TEST_CASE(AReadInProgressIsNotAbandonedWhenAskedToReadAgain) {
   PolledFollower polled;
-  polled.store.SetTrouble(StoreTrouble::kSlowBody);
+  polled.store.SetFault(StoreFault::kSlowBody);
   polled.store.Put("keyed.op", "config", std::string(50'000, 'x'));
   polled.RunFor(kTestTimeout);
   BOOST_TEST(polled.has_change);
@@ -417,14 +417,14 @@
 
 BOOST_AUTO_TEST_CASE(AReadThatHangsIsRenewedAtGrowingIntervals) {
   PolledFollower polled;
-  polled.store.SetTrouble(StoreTrouble::kSilent);
+  polled.store.SetFault(StoreFault::kSilent);
   polled.store.Put("keyed.op", "config", "x");
   polled.RunFor(milliseconds(3500));
   BOOST_TEST(!polled.has_change);
   // Renewals are due at about 0.4, 1.3 and 3.0 s.
   BOOST_TEST(polled.renewals >= 1);
   BOOST_TEST(polled.renewals <= 3);
-  polled.store.SetTrouble(StoreTrouble::kNone);
+  polled.store.SetFault(StoreFault::kNone);
   polled.RunFor(kTestTimeout);
   BOOST_TEST(polled.has_change);
 }
@@ -434,11 +434,11 @@
   json config = fixture->DefaultConfig();
   config["version"] = 9;
   config["tenants"][0]["apiKeys"] = {"new-key"};
-  fixture->store.SetTrouble(StoreTrouble::kReset);
+  fixture->store.SetFault(StoreFault::kReset);
   fixture->Publish(config);
   fixture->store.Compact("keyed.op");
   fixture->store.Compact("keyed.servers");
-  fixture->store.SetTrouble(StoreTrouble::kNone);
+  fixture->store.SetFault(StoreFault::kNone);
   BOOST_TEST(fixture->RunUntil(
       [&] { return fixture->Call(fixture->SafeRequest("c")).head.status == 401; }));
 }
@@ -450,7 +450,7 @@
   const std::string topic(platform::kEnginesCopyTopic);
   BOOST_TEST_REQUIRE(
       fixture->RunUntil([&] { return !fixture->store.Newest(topic, "part-0").empty(); }));
-  fixture->store.TurnAwayTopic(std::string(platform::kEnginesTopic));
+  fixture->store.RejectTopic(std::string(platform::kEnginesTopic));
   // A gateway's timers run as long as the loop does, so the first gateway must not be destroyed.
   std::unique_ptr<GatewayServer> first = std::move(fixture->gateway);
   fixture->StartGateway();
@@ -458,7 +458,7 @@
   // The list replaces the copy as soon as the list can be read.
   fixture->ListEngine(*fixture->apps[0], "app", /*draining=*/true);
   fixture->ListEngine(*fixture->apps[1], "app", /*draining=*/true);
-  fixture->store.TurnAwayTopic("");
+  fixture->store.RejectTopic("");
   BOOST_TEST(fixture->RunUntil(
       [&] { return fixture->Call(fixture->SafeRequest("by-the-list")).head.status == 503; }));
 }
@@ -477,9 +477,9 @@
   size_t settled = 0;
   // Once the change has been read, all requests go to the other engine.
   BOOST_TEST(fixture->RunUntil([&] {
-    size_t before = fixture->apps[1]->seen().size();
+    size_t before = fixture->apps[1]->received().size();
     fixture->Call(fixture->SafeRequest("d"));
-    settled = fixture->apps[1]->seen().size() > before ? settled + 1 : 0;
+    settled = fixture->apps[1]->received().size() > before ? settled + 1 : 0;
     return settled >= 20;
   }));
 }
@@ -496,7 +496,7 @@
     Reply reply = fixture->Call(fixture->SafeRequest(absl::StrCat("i", i)));
     BOOST_TEST(reply.head.status == 200);
   }
-  BOOST_TEST(other_engine.seen().empty());
+  BOOST_TEST(other_engine.received().empty());
 }
 
 BOOST_AUTO_TEST_CASE(AStopFinishesRequestsUnderWayAndThenTakesNoMore) {
@@ -578,7 +578,7 @@
   BOOST_TEST(reply.body == kWholeStream);
   bool helped = false;
   for (auto& engine : fixture->engines) {
-    for (const auto& seen : engine->seen()) {
+    for (const auto& seen : engine->received()) {
       helped = helped || FindHeader(seen.request.head.headers, "Helpers").has_value();
     }
   }
@@ -600,7 +600,7 @@
   BOOST_REQUIRE(fixture->Call(request).whole());
   EngineStandin* gone = ReaderOfFirstRequest(*fixture);
   BOOST_REQUIRE(gone != nullptr);
-  for (auto& engine : fixture->engines) engine->RefuseHelper(gone->address());
+  for (auto& engine : fixture->engines) engine->RefuseReader(gone->address());
   // Nothing else has changed, so the same engines are chosen first.
   Reply reply = fixture->Call(request);
   BOOST_TEST(reply.head.status == 200);
@@ -617,13 +617,13 @@
   fixture->Call(fixture->StreamRequest("first"));
   EngineStandin* chosen = nullptr;
   for (auto& engine : fixture->engines) {
-    if (!engine->seen().empty()) chosen = engine.get();
+    if (!engine->received().empty()) chosen = engine.get();
   }
   BOOST_REQUIRE(chosen != nullptr);
-  size_t before = chosen->seen().size();
+  size_t before = chosen->received().size();
   chosen->FailAll(EngineFault::kFailed);
   for (int i = 0; i < 20; ++i) fixture->Call(fixture->StreamRequest(absl::StrCat("s", i)));
-  BOOST_TEST(chosen->seen().size() - before <= 4u);
+  BOOST_TEST(chosen->received().size() - before <= 4u);
 }
 
 GatewaySettings SecondGateway(const GatewayFixture& fixture) {
@@ -642,7 +642,7 @@
   BOOST_TEST_REQUIRE(fixture->Call(fixture->SafeRequest("before")).head.status == 200);
   const std::string topic(platform::kEnginesTopic);
   BOOST_TEST_REQUIRE(fixture->RunUntil([&] { return fixture->store.IsAwaited(topic); }));
-  fixture->store.MissNextChange(topic);
+  fixture->store.SkipNextChange(topic);
   fixture->ListEngine(*fixture->apps[0], "app", /*draining=*/true);
   GatewayServer second(&fixture->loop, SecondGateway(*fixture), 2);
   BOOST_TEST(second.Start().ok());
--- a/src/gateway/testing/retry_budget_test.cc
+++ b/src/gateway/testing/retry_budget_test.cc
@@ -198,7 +198,7 @@
   size_t count = 0;
   for (const auto* list : {&fixture.engines, &fixture.apps}) {
     for (const auto& engine : *list) {
-      for (const EngineStandin::Seen& seen : engine->seen()) {
+      for (const EngineStandin::ReceivedRequest& seen : engine->received()) {
         count += FindHeader(seen.request.head.headers, platform::kAttemptId) == id ? 1 : 0;
       }
     }
--- a/src/gateway/testing/store_return_test.cc
+++ b/src/gateway/testing/store_return_test.cc
@@ -95,16 +95,16 @@
     world.follower.Start();
     BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.told.count("lost") != 0; }));
     BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.store.IsAwaited(kTopic); }));
-    world.store.SetTrouble(StoreTrouble::kReset);
+    world.store.SetFault(StoreFault::kReset);
     world.store.DropConnections();
-    world.store.ReturnFromCopy(row.epoch);
+    world.store.RestoreCopy(row.epoch);
     Records expected = {{"kept", "before"}};
     for (int i = 0; i < row.written_again; ++i) {
       std::string key = absl::StrCat("again-", i);
       world.Put(key, "after");
       expected[key] = "after";
     }
-    world.store.SetTrouble(StoreTrouble::kNone);
+    world.store.SetFault(StoreFault::kNone);
     BOOST_TEST(world.RunUntil([&] { return world.told == expected; }),
                "written again: " << row.written_again);
   }
@@ -120,9 +120,9 @@
   world.store.HoldNextAnswer(kTopic);
   world.follower.Start();
   BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.store.IsHolding(); }));
-  world.store.ReturnFromCopy("2");
+  world.store.RestoreCopy("2");
   world.Put("c", "2");
-  world.store.LetGo();
+  world.store.ReleaseAnswer();
   Records expected = {{"b", "1"}, {"c", "2"}};
   BOOST_TEST(world.RunUntil([&] { return world.told == expected; }));
 }
@@ -164,13 +164,13 @@
   world.Publish(Version(world, 2));
   world.StartGateway();
   BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2)); }));
-  world.store.SetTrouble(StoreTrouble::kReset);
+  world.store.SetFault(StoreFault::kReset);
   BOOST_TEST_REQUIRE(world.RunUntil([&] { return !world.gateway->IsReady(); }));
   world.store.DropConnections();
-  world.store.ReturnFromCopy("2");
+  world.store.RestoreCopy("2");
   world.Publish(Version(world, 2));
   world.Publish(Version(world, 3, /*with_second_key=*/false));
-  world.store.SetTrouble(StoreTrouble::kNone);
+  world.store.SetFault(StoreFault::kNone);
   BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.gateway->IsReady(); }));
   BOOST_TEST(IsServed(&world, RequestFor(world, 3)));
   BOOST_TEST(world.Call(world.OnceRequest("taken-away")).head.status == 401);
@@ -186,7 +186,7 @@
   world.Publish(Version(world, 2, /*with_second_key=*/false));
   world.StartGateway();
   BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2)); }));
-  world.store.ReturnFromCopy("2");
+  world.store.RestoreCopy("2");
   Time until = Now() + seconds(3);
   while (Now() < until) {
     Reply taken_away = world.Call(world.OnceRequest("taken-away"));
@@ -215,7 +215,7 @@
     world.Publish(Version(world, 2, /*with_second_key=*/false));
     world.StartGateway();
     BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, RequestFor(world, 2)); }));
-    world.store.ReturnFromCopy("2");
+    world.store.RestoreCopy("2");
     world.AddGatewayUnready();
     Time until = Now() + seconds(3);
     while (Now() < until) {
@@ -231,7 +231,7 @@
   }
 }
 
-size_t RunsAt(const EngineStandin& engine) { return engine.seen().size(); }
+size_t RunsAt(const EngineStandin& engine) { return engine.received().size(); }
 
 // That an engine leaves has been acknowledged to us: an older copy in which it is ready, or
 // listed again, does not undo it.
@@ -252,7 +252,7 @@
     }
     BOOST_TEST_REQUIRE(world.RunUntil([&] { return world.gateway->UsableEngines() == 2; }));
     world.store.DropConnections();
-    world.store.ReturnFromCopy("2");
+    world.store.RestoreCopy("2");
     size_t before = RunsAt(leaving);
     Time until = Now() + seconds(2);
     for (int i = 0; Now() < until; ++i) world.Call(world.StreamRequest(absl::StrCat("s", i)));
@@ -274,7 +274,7 @@
   world.StartGateway();
   BOOST_TEST_REQUIRE(world.RunUntil([&] { return IsServed(&world, world.StreamRequest("s")); }));
   world.store.DropConnections();
-  world.store.ReturnFromCopy("2");
+  world.store.RestoreCopy("2");
   Time written_again = Now() + milliseconds(1800);
   while (Now() < written_again) {
     BOOST_TEST_REQUIRE(IsServed(&world, world.StreamRequest("s")));
@@ -301,7 +301,7 @@
   BOOST_TEST_REQUIRE(world.RunUntil(both_are_there));
   BOOST_TEST_REQUIRE(
       world.RunUntil([&] { return !world.store.Newest(kListCopy, "part-0").empty(); }));
-  world.store.ReturnFromCopy("2");
+  world.store.RestoreCopy("2");
   BOOST_TEST(world.RunUntil(both_are_there));
   BOOST_TEST(world.RunUntil([&] { return !world.store.Newest(kListCopy, "part-0").empty(); }));
   // Two entries, and what says that the epoch has been seen.
--- a/src/standins/engine_process_main.cc
+++ b/src/standins/engine_process_main.cc
@@ -21,8 +21,8 @@
 
 // Tells the requests that have run since the last call.
 void TellRuns(const EngineStandin& engine, size_t* told) {
-  for (; *told < engine.seen().size(); ++*told) {
-    const EngineStandin::Seen& seen = engine.seen()[*told];
+  for (; *told < engine.received().size(); ++*told) {
+    const EngineStandin::ReceivedRequest& seen = engine.received()[*told];
     std::optional<std::string_view> id =
         FindHeader(seen.request.head.headers, platform::kAttemptId);
     if (seen.ran && id) std::printf("ran %.*s\n", static_cast<int>(id->size()), id->data());
@@ -41,10 +41,12 @@
   EngineStandin::Options options;
   options.id = FLAGS_id;
   options.events = FLAGS_events;
-  options.work = milliseconds(FLAGS_work_ms);
+  options.work_duration = milliseconds(FLAGS_work_ms);
   if (!FLAGS_ends_on.empty()) {
-    options.ends_it = [](const CallerRequest& request) { return request.body == FLAGS_ends_on; };
-    options.ended = [&loop] { loop.Stop(); };
+    options.crashes_engine = [](const CallerRequest& request) {
+      return request.body == FLAGS_ends_on;
+    };
+    options.on_crash = [&loop] { loop.Stop(); };
   }
   EngineStandin engine(&loop, options);
   size_t told = 0;
--- a/src/standins/engine_standin.cc
+++ b/src/standins/engine_standin.cc
@@ -72,16 +72,16 @@
   this->listens = true;
 }
 
-void EngineStandin::End() {
+void EngineStandin::Crash() {
   this->listens = false;
   this->listener.Close();
   for (const auto& connection : this->connections) connection->channel->BreakOff();
   this->connections.clear();
   this->reserved.clear();
-  if (this->options.ended) this->options.ended();
+  if (this->options.on_crash) this->options.on_crash();
 }
 
-void EngineStandin::StartAgain(const std::string& new_id) {
+void EngineStandin::Restart(const std::string& new_id) {
   this->options.id = new_id;
   this->Listen();
 }
@@ -147,10 +147,10 @@
       break;
   }
   this->requests.back().ran = true;
-  this->loop->RunAfter(this->options.work, [this, connection, request, fault] {
+  this->loop->RunAfter(this->options.work_duration, [this, connection, request, fault] {
     if (connection->channel->is_closed()) return;
-    bool deadly = this->options.ends_it && this->options.ends_it(request);
-    deadly ? this->End() : this->Run(connection, request, fault);
+    bool deadly = this->options.crashes_engine && this->options.crashes_engine(request);
+    deadly ? this->Crash() : this->Run(connection, request, fault);
   });
 }
 
@@ -221,7 +221,7 @@
     return;
   }
   channel->WritePart(Event(next));
-  this->loop->RunAfter(this->options.event_every, [this, connection, next, fault] {
+  this->loop->RunAfter(this->options.event_interval, [this, connection, next, fault] {
     this->Stream(connection, next + 1, fault);
   });
 }
--- a/src/standins/engine_standin.h
+++ b/src/standins/engine_standin.h
@@ -61,14 +61,14 @@
     std::string id;
     // Events of a whole stream, and the time between two.
     int events = 4;
-    Duration event_every = milliseconds(2);
+    Duration event_interval = milliseconds(2);
     // From a request to the beginning of its answer.
-    Duration work = milliseconds(2);
+    Duration work_duration = milliseconds(2);
     uint64_t memory_tokens = 450'000;
     // Whether the engine ends when it has worked on a request for `work`.
-    std::function<bool(const CallerRequest&)> ends_it = {};
+    std::function<bool(const CallerRequest&)> crashes_engine = {};
     // The engine has ended.
-    std::function<void()> ended = {};
+    std::function<void()> on_crash = {};
   };
 
   EngineStandin(EventLoop* event_loop, Options engine_options);
@@ -78,10 +78,10 @@
 
   // Ends at once, as a process that crashes: every connection is reset, and nobody listens
   // any more.
-  void End();
+  void Crash();
   bool is_up() const { return this->listens; }
   // Starts again as another engine, which knows nothing of before, at another address.
-  void StartAgain(const std::string& new_id);
+  void Restart(const std::string& new_id);
 
   // What happens to the next request, and so on, first in first out.
   void FailNext(EngineFault fault) { this->faults.push_back(fault); }
@@ -90,20 +90,20 @@
 
   // Turns away, from now on, every request that names this engine as a helper, and
   // says that it is at fault.
-  void RefuseHelper(const SocketAddress& helper) { this->refused_helper = helper; }
+  void RefuseReader(const SocketAddress& helper) { this->refused_helper = helper; }
 
   // What it says of itself in every answer from now on; a rest is asked for by turning each
   // request away.
-  void Say(const EngineNotice& said) { this->notice = said; }
+  void SetNotice(const EngineNotice& said) { this->notice = said; }
 
   // A request as it reached the engine, when, and whether it was run.
-  struct Seen {
+  struct ReceivedRequest {
     CallerRequest request;
     Time at{};
     bool ran = false;
     bool cancelled = false;
   };
-  const std::vector<Seen>& seen() const { return this->requests; }
+  const std::vector<ReceivedRequest>& received() const { return this->requests; }
 
   // When orders for memory came.
   const std::vector<Time>& orders() const { return this->order_times; }
@@ -111,7 +111,7 @@
   // Memory that is set aside, by ticket.
   const std::map<std::string, uint64_t>& tickets() const { return this->reserved; }
   // As an engine that has started again.
-  void ForgetTickets() { this->reserved.clear(); }
+  void DropTickets() { this->reserved.clear(); }
 
  private:
   struct Connection {
@@ -142,7 +142,7 @@
   EngineFault every = EngineFault::kNone;
   std::optional<SocketAddress> refused_helper;
   EngineNotice notice;
-  std::vector<Seen> requests;
+  std::vector<ReceivedRequest> requests;
   std::vector<Time> order_times;
   std::map<std::string, uint64_t> reserved;
 };
--- a/src/standins/store_process_main.cc
+++ b/src/standins/store_process_main.cc
@@ -22,7 +22,7 @@
     if (!has_copy) {
       running->SaveCopy();
     } else {
-      running->ReturnFromCopy(std::to_string(++epoch));
+      running->RestoreCopy(std::to_string(++epoch));
     }
     has_copy = !has_copy;
   });
--- a/src/standins/store_standin.cc
+++ b/src/standins/store_standin.cc
@@ -50,7 +50,7 @@
   return head;
 }
 
-void StoreStandin::ReturnFromCopy(const std::string& next) {
+void StoreStandin::RestoreCopy(const std::string& next) {
   this->topics = this->copy;
   this->epoch = next;
 }
@@ -70,7 +70,7 @@
   };
 }
 
-void StoreStandin::LetGo() {
+void StoreStandin::ReleaseAnswer() {
   if (this->held_answer) std::exchange(this->held_answer, nullptr)();
 }
 
@@ -148,9 +148,9 @@
 void StoreStandin::OnRequest(const std::shared_ptr<CallerChannel>& channel,
                              const CallerRequest& request) {
   this->call_count += 1;
-  if (this->trouble == StoreTrouble::kSilent) return;
-  if (this->trouble == StoreTrouble::kReset) return channel->BreakOff();
-  if (this->trouble == StoreTrouble::kBusy) return channel->Answer(Head(503), "");
+  if (this->trouble == StoreFault::kSilent) return;
+  if (this->trouble == StoreFault::kReset) return channel->BreakOff();
+  if (this->trouble == StoreFault::kBusy) return channel->Answer(Head(503), "");
   std::map<std::string, std::string> query = Query(request.head.target);
   this->holds_this = !this->held_topic.empty() && query["topic"] == this->held_topic;
   if (!this->turned_away.empty() && query["topic"] == this->turned_away) {
@@ -196,7 +196,7 @@
   if (std::exchange(this->holds_this, false)) {
     return this->Hold(channel->shared_from_this(), body);
   }
-  if (this->trouble != StoreTrouble::kSlowBody) return channel->Answer(Head(200), body);
+  if (this->trouble != StoreFault::kSlowBody) return channel->Answer(Head(200), body);
   channel->BeginAnswer(Head(200), body.size());
   this->AnswerInPieces(channel->shared_from_this(), body);
 }
@@ -246,7 +246,7 @@
 }
 
 void StoreStandin::WakeWaiting(Time now) {
-  if (this->trouble == StoreTrouble::kSilent) return;
+  if (this->trouble == StoreFault::kSilent) return;
   std::vector<Waiting> still;
   for (Waiting& entry : std::exchange(this->waiting, {})) {
     std::shared_ptr<CallerChannel> channel = entry.channel.lock();
--- a/src/standins/store_standin.h
+++ b/src/standins/store_standin.h
@@ -24,7 +24,7 @@
 
 namespace gullward {
 
-enum class StoreTrouble {
+enum class StoreFault {
   kNone,
   // Takes calls and says nothing.
   kSilent,
@@ -51,14 +51,14 @@
   // Drops the records of a topic; the newest of each key stay.
   void Compact(const std::string& topic);
 
-  void SetTrouble(StoreTrouble wanted) { this->trouble = wanted; }
+  void SetFault(StoreFault wanted) { this->trouble = wanted; }
 
   // Turns away, with 503, the calls on one topic only; an empty name ends that.
-  void TurnAwayTopic(const std::string& topic) { this->turned_away = topic; }
+  void RejectTopic(const std::string& topic) { this->turned_away = topic; }
 
   // Leaves the reads that wait at a topic unanswered until its next change but one,
   // however long they wanted to wait.
-  void MissNextChange(const std::string& topic) { this->unheard = topic; }
+  void SkipNextChange(const std::string& topic) { this->unheard = topic; }
 
   // What the header of all answers says of the epoch from now on, in any form; by default
   // there is no such header.  A number, or two of them on two lines.
@@ -68,7 +68,7 @@
   void SaveCopy() { this->copy = this->topics; }
   // Comes back from that copy, under the epoch `next`: offsets go back and are given out
   // again.  Reads that wait stay open, as those of a store whose process lives.
-  void ReturnFromCopy(const std::string& next);
+  void RestoreCopy(const std::string& next);
 
   // Breaks off all connections, those of waiting reads too.
   void DropConnections();
@@ -76,7 +76,7 @@
   // Holds back the answer to the next call on a topic until LetGo.
   void HoldNextAnswer(const std::string& topic) { this->held_topic = topic; }
   bool IsHolding() const { return this->held_answer != nullptr; }
-  void LetGo();
+  void ReleaseAnswer();
 
   // The newest value of a key; empty where there is none.
   std::string Newest(const std::string& topic, const std::string& key);
@@ -134,7 +134,7 @@
   std::vector<std::shared_ptr<CallerChannel>> channels;
   std::map<std::string, Topic> topics;
   std::vector<Waiting> waiting;
-  StoreTrouble trouble = StoreTrouble::kNone;
+  StoreFault trouble = StoreFault::kNone;
   std::string turned_away;
   std::string unheard;
   std::string epoch;
