--- a/src/load/main.cc
+++ b/src/load/main.cc
@@ -1,9 +1,9 @@
 // gullward-load: sends prompts to entries and checks every answer.
 //
-// Prompts are cut from real text files to given lengths in tokens.  Requests
-// are sent open loop: at fixed times, whatever becomes of the earlier ones.  The
-// stand-in engine's answer is a pure function of the prompt, so each answer is
-// compared whole with the one that was due.  Prints a table of time to first
+// Prompts are cut from real text files to given lengths in tokens.  The load is open loop:
+// requests are sent at fixed times, whether or not earlier ones have been answered.  The answer
+// of the stand-in engine is a pure function of the prompt (standins/answer.h), so each answer is
+// compared completely with the expected one.  The program prints a table of the time to first
 // token by length and exits with 1 if any answer was wrong or missing.
 //
 //   gullward-load --entries=127.0.0.1:8080,127.0.0.1:8081 --key=KEY
@@ -26,30 +26,30 @@
 #include "process/process.h"
 #include "standins/answer.h"
 
-DEFINE_string(entries, "", "IP:PORT of the entries, with commas between");
+DEFINE_string(entries, "", "IP:PORT of each entry, separated by commas");
 DEFINE_string(key, "", "API key");
-DEFINE_string(model, "base", "model to ask for");
-DEFINE_string(corpus, "", "text files that prompts are cut from, with commas between");
-DEFINE_string(lengths, "1000", "prompt lengths in tokens, with commas between");
-DEFINE_int32(requests, 4, "requests of each length");
-DEFINE_double(per_second, 20, "requests sent in a second");
-DEFINE_int32(max_tokens, 64, "tokens of each answer at most");
-DEFINE_double(timeout_seconds, 120, "stated time of each request");
+DEFINE_string(model, "base", "name of the model");
+DEFINE_string(corpus, "", "text files that prompts are cut from, separated by commas");
+DEFINE_string(lengths, "1000", "prompt lengths in tokens, separated by commas");
+DEFINE_int32(requests, 4, "number of requests of each length");
+DEFINE_double(per_second, 20, "requests sent per second");
+DEFINE_int32(max_tokens, 64, "maximum number of tokens in an answer");
+DEFINE_double(timeout_seconds, 120, "timeout of each request, in seconds");
 
 namespace gullward {
 namespace {
 
 using nlohmann::json;
 
-struct Sent {
+struct SentRequest {
   uint64_t length = 0;
   std::string expected;
-  std::string got;
-  std::string unread;
+  std::string answer;
+  std::string unparsed;
   Time sent_at;
   Time first_at;
   Time last_at;
-  bool first = false;
+  bool has_first = false;
   bool ended = false;
   int status = 0;
   std::string error;
@@ -70,7 +70,7 @@
   return corpus;
 }
 
-// `tokens` tokens of the corpus from a place of its own for each request.
+// Returns a prompt of `tokens` tokens, cut from the corpus at a position that depends on `index`.
 std::string CutPrompt(const std::string& corpus, uint64_t tokens, size_t index) {
   size_t bytes = tokens * kBytesPerToken;
   std::string prompt = "request " + std::to_string(index) + "\n";
@@ -83,12 +83,12 @@
   return prompt;
 }
 
-void TakePart(Sent* sent, const std::string& part) {
-  sent->unread += part;
-  for (size_t end = sent->unread.find("\n\n"); end != std::string::npos;
-       end = sent->unread.find("\n\n")) {
-    std::string event = sent->unread.substr(0, end);
-    sent->unread.erase(0, end + 2);
+void ParseEvents(SentRequest* sent, const std::string& chunk) {
+  sent->unparsed += chunk;
+  for (size_t end = sent->unparsed.find("\n\n"); end != std::string::npos;
+       end = sent->unparsed.find("\n\n")) {
+    std::string event = sent->unparsed.substr(0, end);
+    sent->unparsed.erase(0, end + 2);
     if (event.compare(0, 6, "data: ") != 0) continue;
     std::string data = event.substr(6);
     if (data == "[DONE]") {
@@ -101,17 +101,17 @@
     if (!value.contains("choices") || value["choices"].empty()) continue;
     std::string text = value["choices"][0].value("text", std::string());
     if (text.empty()) continue;
-    if (!sent->first) sent->first_at = Now();
-    sent->first = true;
+    if (!sent->has_first) sent->first_at = Now();
+    sent->has_first = true;
     sent->last_at = Now();
-    sent->got += text;
+    sent->answer += text;
   }
 }
 
-double Percentile(std::vector<double> values, double part) {
+double Percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
-  auto index = static_cast<size_t>(std::lround(part * static_cast<double>(values.size() - 1)));
+  auto index = static_cast<size_t>(std::lround(fraction * static_cast<double>(values.size() - 1)));
   return values[index];
 }
 
@@ -121,28 +121,28 @@
 
   int Run() {
     if (this->corpus.empty() || this->entries.empty()) {
-      std::fprintf(stderr, "--entries and --corpus are needed\n");
+      std::fprintf(stderr, "--entries and --corpus must not be empty\n");
       return kExitUsage;
     }
     std::vector<std::string> lengths = SplitFlag(FLAGS_lengths);
-    // Long and short in turn, so that they share the fleet.
+    // Lengths alternate, so that long and short requests run at the same time.
     for (int i = 0; i < FLAGS_requests; ++i) {
       for (const std::string& length : lengths) {
-        size_t index = this->all.size();
-        this->all.emplace_back();
-        this->all.back().length = std::stoull(length);
+        size_t index = this->requests.size();
+        this->requests.emplace_back();
+        this->requests.back().length = std::stoull(length);
         this->loop.RunAfter(FromSeconds(static_cast<double>(index) / FLAGS_per_second),
                             [this, index] { this->Send(index); });
       }
     }
-    this->left = this->all.size();
+    this->remaining = this->requests.size();
     this->loop.Run();
     return this->Report();
   }
 
  private:
   void Send(size_t index) {
-    Sent& sent = this->all[index];
+    SentRequest& sent = this->requests[index];
     std::string prompt = CutPrompt(this->corpus, sent.length, index);
     auto max_tokens = static_cast<uint32_t>(FLAGS_max_tokens);
     sent.expected = ExpectedAnswer(prompt, max_tokens);
@@ -161,24 +161,27 @@
     call.timeout = FromSeconds(FLAGS_timeout_seconds + 10);
     sent.sent_at = Now();
     HttpClient::Hooks hooks;
-    hooks.data = [this, index](const std::string& part) { TakePart(&this->all[index], part); };
+    hooks.data = [this, index](const std::string& chunk) {
+      ParseEvents(&this->requests[index], chunk);
+    };
     hooks.done = [this, index](const HttpResult& result) {
-      this->all[index].status = result.status;
-      if (result.status != 200) this->all[index].error = result.body + result.error;
-      if (--this->left == 0) this->loop.Stop();
+      this->requests[index].status = result.status;
+      if (result.status != 200) this->requests[index].error = result.body + result.error;
+      if (--this->remaining == 0) this->loop.Stop();
     };
     this->client.Start(std::move(call), std::move(hooks));
   }
 
   int Report() const {
     std::map<uint64_t, std::vector<double>> first_seconds;
-    std::map<uint64_t, int> right;
+    std::map<uint64_t, int> correct;
     std::map<uint64_t, int> wrong;
-    for (const Sent& sent : this->all) {
-      bool whole = sent.ended && sent.got == sent.expected;
-      ++(whole ? right : wrong)[sent.length];
-      if (sent.first) first_seconds[sent.length].push_back(ToSeconds(sent.first_at - sent.sent_at));
-      if (!whole) {
+    for (const SentRequest& sent : this->requests) {
+      bool is_whole = sent.ended && sent.answer == sent.expected;
+      ++(is_whole ? correct : wrong)[sent.length];
+      if (sent.has_first)
+        first_seconds[sent.length].push_back(ToSeconds(sent.first_at - sent.sent_at));
+      if (!is_whole) {
         std::printf("not whole: length %llu status %d %s\n",
                     static_cast<unsigned long long>(sent.length), sent.status, sent.error.c_str());
       }
@@ -186,9 +189,9 @@
     std::printf("%10s %8s %8s %12s %12s\n", "tokens", "whole", "wrong", "first p50 s",
                 "first p95 s");
     int failures = 0;
-    for (const auto& [length, values] : first_seconds) right.try_emplace(length, 0);
-    for (const auto& [length, count] : wrong) right.try_emplace(length, 0);
-    for (const auto& [length, count] : right) {
+    for (const auto& [length, values] : first_seconds) correct.try_emplace(length, 0);
+    for (const auto& [length, count] : wrong) correct.try_emplace(length, 0);
+    for (const auto& [length, count] : correct) {
       auto bad = wrong.find(length);
       int wrong_count = bad == wrong.end() ? 0 : bad->second;
       failures += wrong_count;
@@ -205,8 +208,8 @@
   HttpClient client;
   std::string corpus;
   std::vector<std::string> entries;
-  std::vector<Sent> all;
-  size_t left = 0;
+  std::vector<SentRequest> requests;
+  size_t remaining = 0;
 };
 
 }  // namespace
--- a/src/soak/loopback_proxy.cc
+++ b/src/soak/loopback_proxy.cc
@@ -1,4 +1,5 @@
-// loopback_proxy.h.
+// Forwards bytes between the two streams of each link, through a queue for delayed bytes and a
+// buffer for the bytes of a silent direction.
 
 #include "soak/loopback_proxy.h"
 
@@ -70,12 +71,13 @@
 
 void LoopbackProxy::CloseLink(const std::shared_ptr<Link>& link, StreamEnd end) {
   this->ForwardAll(link);
-  // An end must not overtake bytes that a cut still holds.
-  bool cut_off = !link->held[kFromClient].empty() || !link->held[kFromServer].empty();
+  // The end must not be forwarded before bytes that a silent direction still holds.
+  bool has_held_bytes = !link->held[kFromClient].empty() || !link->held[kFromServer].empty();
   link->closed = true;
   for (auto& stream : link->ends) {
-    // A good end passes on as such, after what was written; any other as a reset.
-    if (end == StreamEnd::kFinished && !cut_off) {
+    // An orderly end is forwarded after the bytes that were written.  Any other end, or held
+    // bytes, become a reset.
+    if (end == StreamEnd::kFinished && !has_held_bytes) {
       stream->FinishAndClose();
     } else {
       stream->Reset();
--- a/src/soak/loopback_proxy.h
+++ b/src/soak/loopback_proxy.h
@@ -1,8 +1,8 @@
-// A loopback proxy that harms the connections which pass through it.
+// A TCP proxy on the loopback interface that injects faults into the connections through it.
 //
 //   LoopbackProxy proxy(&loop, target);
 //   proxy.SetDelay(milliseconds(50));
-//   proxy.SetSilent(LoopbackProxy::kFromServer, true);   // cut one way
+//   proxy.SetSilent(LoopbackProxy::kFromServer, true);   // partition in one direction
 //   proxy.ResetAll();
 
 #ifndef GULLWARD_SOAK_LOOPBACK_PROXY_H_
@@ -27,15 +27,15 @@
 
   SocketAddress address() const { return {"127.0.0.1", this->listener.port()}; }
 
-  // Where new connections go from now on.
+  // Sets the server that new connections are forwarded to.
   void SetTarget(const SocketAddress& server) { this->target = server; }
 
-  // Bytes that come while it is set are passed on that much later.  As on any TCP
-  // connection they keep their order: what comes after a delay has ended waits for
-  // what was delayed.
+  // Delays bytes that arrive from now on by this time.  Bytes keep their order, as on any TCP
+  // connection: bytes that arrive after the delay was reduced wait for the earlier ones.
   void SetDelay(Duration wanted) { this->delay = wanted; }
 
-  // Bytes of a silent direction are held until it speaks again.
+  // While a direction is silent, its bytes are held; they are forwarded when it is not silent any
+  // more.
   void SetSilent(Direction direction, bool wanted);
 
   // Resets every connection.
@@ -44,7 +44,7 @@
  private:
   struct Link {
     std::shared_ptr<TcpStream> ends[2];
-    // Bytes that are delayed, and when each lot is due.
+    // Delayed bytes, in chunks, with the time at which each chunk is due.
     std::deque<std::pair<Time, std::string>> delayed[2];
     std::string held[2];
     bool closed = false;
--- a/src/soak/main.cc
+++ b/src/soak/main.cc
@@ -1,4 +1,4 @@
-// gullward-soak: plays seeds of the soak and says what broke.
+// gullward-soak: runs the soak for a range of seeds and prints the violations of each.
 //
 //   gullward-soak --seed 1 --runs 50 --seconds 10 --folder /tmp/soak
 
@@ -11,21 +11,21 @@
 #include "soak/soak.h"
 
 DEFINE_uint64(seed, 1, "the first seed");
-DEFINE_uint64(runs, 1, "how many seeds, one after the other");
-DEFINE_uint64(seconds, 10, "how long each run sends requests");
-DEFINE_string(folder, "/tmp/gullward-soak", "where the processes' output goes");
-DEFINE_int32(engines, 4, "model engines");
-DEFINE_int32(gateways, 2, "gateways");
-DEFINE_int32(callers, 12, "callers");
-DEFINE_bool(returns, false, "the store comes back from older copies");
-DEFINE_bool(deadly, false, "one caller more sends a request that ends engines");
+DEFINE_uint64(runs, 1, "number of consecutive seeds to run");
+DEFINE_uint64(seconds, 10, "duration of the load of each run, in seconds");
+DEFINE_string(folder, "/tmp/gullward-soak", "folder for the output of the processes");
+DEFINE_int32(engines, 4, "number of model engines");
+DEFINE_int32(gateways, 2, "number of gateways");
+DEFINE_int32(callers, 12, "number of callers");
+DEFINE_bool(returns, false, "restore the store from older copies during the run");
+DEFINE_bool(deadly, false, "let the first caller send a request that crashes engines");
 
 int main(int argc, char** argv) {
   using namespace gullward;
   InitProcess("gullward-soak: real programs under faults", &argc, &argv);
-  // A shell that ends while one of our programs stands still would end this one: the kernel
-  // hangs up on a group that nobody minds any more.  A handler, since programs inherit it if
-  // the signal is ignored.
+  // If the shell exits while one of the programs is stopped, the kernel sends SIGHUP to the
+  // orphaned process group, which would terminate this program.  A handler is installed instead
+  // of ignoring the signal because child processes would inherit an ignored signal.
   signal(SIGHUP, [](int) {});
   uint64_t failed = 0;
   for (uint64_t seed = FLAGS_seed; seed < FLAGS_seed + FLAGS_runs; ++seed) {
@@ -36,15 +36,15 @@
     options.engines = FLAGS_engines;
     options.gateways = FLAGS_gateways;
     options.callers = FLAGS_callers;
-    options.deadly = FLAGS_deadly;
-    options.returns = FLAGS_returns;
+    options.crashing = FLAGS_deadly;
+    options.store_returns = FLAGS_returns;
     Soak soak(options);
-    std::vector<std::string> broken = soak.Run();
+    std::vector<std::string> violations = soak.Run();
     std::printf("seed %lu: %lu sent, %lu served, %zu broken\n", seed, soak.sent(), soak.served(),
-                broken.size());
-    for (const std::string& line : broken) std::printf("  %s\n", line.c_str());
+                violations.size());
+    for (const std::string& line : violations) std::printf("  %s\n", line.c_str());
     std::fflush(stdout);
-    failed += broken.empty() ? 0 : 1;
+    failed += violations.empty() ? 0 : 1;
   }
   std::printf("%lu passed, %lu failed\n", FLAGS_runs - failed, failed);
   return failed == 0 ? 0 : 1;
--- a/src/soak/process_set.cc
+++ b/src/soak/process_set.cc
@@ -1,4 +1,4 @@
-// process_set.h.
+// Starts, signals and reaps child processes, and reads their files.
 
 #include "soak/process_set.h"
 
@@ -14,7 +14,7 @@
 
 ProcessSet::ProcessSet(std::string output_folder) : folder(std::move(output_folder)) {
   std::filesystem::create_directories(this->folder);
-  // What an earlier run wrote here would be taken for this one's.
+  // Files of an earlier run would be mistaken for files of this run.
   for (const auto& entry : std::filesystem::directory_iterator(this->folder)) {
     bool ours = entry.path().extension() == ".out" || entry.path().extension() == ".ready";
     if (ours) std::filesystem::remove(entry.path());
--- a/src/soak/process_set.h
+++ b/src/soak/process_set.h
@@ -1,6 +1,6 @@
-// The programs that a soak runs, each a process of its own.
+// The child processes of a soak, one for each program.
 //
-// Only processes that were started here are ever signalled, by their ids.
+// Signals are sent by process id, and only to processes that this class has started.
 //
 //   ProcessSet processes(folder);
 //   processes.Start("engine-1", "standin-model-engine", {"--id=engine-1"});
@@ -19,27 +19,28 @@
 
 class ProcessSet {
  public:
-  // Outputs and ready files go to `folder`; programs lie beside this one.
+  // Output and ready files are written to `folder`.  Programs are in the folder of the running
+  // executable.
   explicit ProcessSet(std::string folder);
-  // Kills what still runs.
+  // Kills the processes that are still running.
   ~ProcessSet();
   ProcessSet(const ProcessSet&) = delete;
   ProcessSet& operator=(const ProcessSet&) = delete;
 
-  // Starts a program under a name that no running one has.  Its ready file is
-  // named by --ready_file.
+  // Starts a program under a name that no running process has.  Adds the flag --ready_file to
+  // `arguments`.
   void Start(const std::string& name, const std::string& program,
              std::vector<std::string> arguments);
 
   void Signal(const std::string& name, int signal) const;
 
-  // Whether the process has not ended yet; reaps it if it has.
+  // Whether the process is still running.  Reaps it if it has ended.
   bool IsRunning(const std::string& name);
 
-  // "IP:PORT" from the ready file, or "" until it is there.
+  // "IP:PORT" from the ready file, or "" while the file does not exist.
   std::string ReadyAddress(const std::string& name) const;
 
-  // What the process has written.
+  // What the process has written to its standard output.
   std::string Output(const std::string& name) const;
 
   std::string PathOf(const std::string& file) const { return this->folder + "/" + file; }
--- a/src/soak/soak.cc
+++ b/src/soak/soak.cc
@@ -1,4 +1,4 @@
-// soak.h tells what is checked.
+// Starts the programs, injects faults, and checks the answers and the engines' output.
 
 #include "soak/soak.h"
 
@@ -20,21 +20,21 @@
 constexpr int kEvents = 20;
 constexpr int kSlots = 16;
 constexpr uint64_t kDeadlineMs = 3000;
-// Time for an answer to come back after the deadline, on a busy machine.
-constexpr Duration kAnswerSlack = milliseconds(1500);
-// For so long after harm a gateway is excused from being on time.
-constexpr Duration kExcusedAfterHarm = seconds(4);
+// Time allowed for an answer to arrive after the deadline, on a busy machine.
+constexpr Duration kAnswerDelayAllowed = milliseconds(1500);
+// For this long after a fault a gateway may miss deadlines.
+constexpr Duration kGraceAfterFault = seconds(4);
 constexpr uint64_t kKeyTrustMs = 2000;
 constexpr uint64_t kStopGraceSeconds = 5;
 constexpr size_t kKeysInForce = 3;
-constexpr Duration kStartPatience = seconds(20);
-constexpr Duration kSettle = seconds(6);
+constexpr Duration kStartTimeout = seconds(20);
+constexpr Duration kSettleTime = seconds(6);
 constexpr char kApp[] = "app";
 constexpr char kModels[] = "models";
 constexpr char kPlainBody[] = "the whole answer";
-// The body of the request that ends engines, and how often it comes at most.
-constexpr char kDeadlyBody[] = "deadly";
-constexpr Duration kDeadlyPause = milliseconds(100);
+// The body of the request that crashes engines, and the shortest pause between two of them.
+constexpr char kCrashingBody[] = "deadly";
+constexpr Duration kCrashingPause = milliseconds(100);
 
 std::string WholeStream() {
   std::string text;
@@ -66,16 +66,16 @@
   return speed;
 }
 
-// Of the store's returns: how long it is away, and within what time the operator and the
-// engines have written again.
-constexpr Duration kMostOutage = milliseconds(900);
-constexpr Duration kWriteAgainWithin = milliseconds(1900);
+// For the store's returns: the longest outage, and the time within which the operator and the
+// engines write the lost records again.
+constexpr Duration kMaxOutage = milliseconds(900);
+constexpr Duration kMaxRewriteDelay = milliseconds(1900);
 
-bool PromisesNotRun(int status) {
+bool StatesNotRun(int status) {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-// The beginning and the end of a body on one line, for the report.
+// The beginning and the end of a body, escaped and on one line, for the report.
 std::string Excerpt(const std::string& body) {
   constexpr size_t kEnds = 120;
   std::string text = absl::CEscape(body);
@@ -91,49 +91,49 @@
       processes(soak_options.folder),
       return_random(soak_options.seed) {}
 
-void Soak::Broken(const std::string& what) { this->broken.push_back(what); }
+void Soak::ReportViolation(const std::string& what) { this->violations.push_back(what); }
 
-void Soak::RunUntil(const std::function<bool()>& condition, Duration patience) {
-  Time until = Now() + patience;
+void Soak::RunUntil(const std::function<bool()>& condition, Duration timeout) {
+  Time until = Now() + timeout;
   while (!condition() && Now() < until) this->loop.RunOnce(milliseconds(10));
 }
 
-void Soak::Later(Duration delay, std::function<void()> task) {
+void Soak::RunAfter(Duration delay, std::function<void()> task) {
   this->loop.RunAfter(delay, std::move(task));
 }
 
 std::vector<std::string> Soak::Run() {
   this->StartAll();
-  if (!this->broken.empty()) return this->broken;
+  if (!this->violations.empty()) return this->violations;
   for (size_t i = 0; i < this->callers.size(); ++i) this->SendNext(i);
   Time end = Now() + this->options.duration;
-  Time next_harm = Now() + milliseconds(500);
+  Time next_fault = Now() + milliseconds(500);
   while (Now() < end) {
     this->loop.RunOnce(milliseconds(10));
-    this->KeepRunning();
+    this->RestartEnded();
     this->CheckDeadlines();
-    if (this->options.returns) this->PlayReturns();
-    if (Now() < next_harm) continue;
-    this->HarmSomething();
-    next_harm = Now() + milliseconds(50 + this->Draw(500));
+    if (this->options.store_returns) this->ScheduleStoreReturn();
+    if (Now() < next_fault) continue;
+    this->InjectFault();
+    next_fault = Now() + milliseconds(50 + this->RandomBelow(500));
   }
-  this->ending = true;
-  this->RunUntil([] { return false; }, kSettle);
+  this->is_ending = true;
+  this->RunUntil([] { return false; }, kSettleTime);
   this->CheckRuns();
-  return this->broken;
+  return this->violations;
 }
 
 // ------------------------------------------------------------------ programs
 
 void Soak::StartAll() {
   std::vector<std::string> store_arguments;
-  if (this->options.returns) store_arguments.emplace_back("--epoch=1");
+  if (this->options.store_returns) store_arguments.emplace_back("--epoch=1");
   this->processes.Start("store", "standin-store", store_arguments);
   auto ready = [this](const std::string& name) {
-    this->RunUntil([&] { return !this->processes.ReadyAddress(name).empty(); }, kStartPatience);
+    this->RunUntil([&] { return !this->processes.ReadyAddress(name).empty(); }, kStartTimeout);
     absl::StatusOr<SocketAddress> address =
         SocketAddress::Parse(this->processes.ReadyAddress(name));
-    if (!address.ok()) this->Broken(name + " did not start");
+    if (!address.ok()) this->ReportViolation(name + " did not start");
     return address.ok() ? *address : SocketAddress{};
   };
   SocketAddress store_address = ready("store");
@@ -153,40 +153,40 @@
     this->gateways[i].store_proxy = std::make_unique<LoopbackProxy>(&this->loop, store_address);
     this->StartGateway(i);
   }
-  for (GatewayPlace& gateway : this->gateways) {
+  for (GatewayProcess& gateway : this->gateways) {
     this->RunUntil([&] { return !this->processes.ReadyAddress(gateway.name).empty(); },
-                   kStartPatience);
+                   kStartTimeout);
   }
   this->callers.resize(static_cast<size_t>(this->options.callers));
 }
 
-void Soak::StartEngine(size_t place) {
-  EnginePlace& engine = this->engines[place];
+void Soak::StartEngine(size_t index) {
+  EngineProcess& engine = this->engines[index];
   if (!engine.name.empty()) this->PutRecord(platform::kEnginesTopic, engine.name, "");
-  engine.lives += 1;
-  engine.name = absl::StrCat(engine.service, "-", place, "-", engine.lives);
+  engine.incarnations += 1;
+  engine.name = absl::StrCat(engine.service, "-", index, "-", engine.incarnations);
   this->engine_outputs.push_back(engine.name);
   std::vector<std::string> flags = {"--id=" + engine.name, absl::StrCat("--events=", kEvents)};
-  if (this->options.deadly) flags.push_back(absl::StrCat("--ends_on=", kDeadlyBody));
+  if (this->options.crashing) flags.push_back(absl::StrCat("--ends_on=", kCrashingBody));
   this->processes.Start(engine.name, "standin-model-engine", flags);
   std::string name = engine.name;
-  this->RunUntil([&] { return !this->processes.ReadyAddress(name).empty(); }, kStartPatience);
+  this->RunUntil([&] { return !this->processes.ReadyAddress(name).empty(); }, kStartTimeout);
   absl::StatusOr<SocketAddress> address = SocketAddress::Parse(this->processes.ReadyAddress(name));
-  if (!address.ok()) return this->Broken(name + " did not start");
+  if (!address.ok()) return this->ReportViolation(name + " did not start");
   if (engine.proxy) {
     engine.proxy->SetTarget(*address);
   } else {
     engine.proxy = std::make_unique<LoopbackProxy>(&this->loop, *address);
   }
-  SocketAddress listed = this->options.deadly ? *address : engine.proxy->address();
+  SocketAddress listed = this->options.crashing ? *address : engine.proxy->address();
   EngineRecord record{name, engine.service, listed, "hall", kSlots, false};
   this->PutRecord(platform::kEnginesTopic, name, platform::EngineDocument(record));
 }
 
-void Soak::StartGateway(size_t place) {
-  GatewayPlace& gateway = this->gateways[place];
-  gateway.harmed = Now();
-  gateway.stopping = false;
+void Soak::StartGateway(size_t index) {
+  GatewayProcess& gateway = this->gateways[index];
+  gateway.last_fault = Now();
+  gateway.is_stopping = false;
   std::string file = this->processes.PathOf(gateway.name + ".toml");
   std::ofstream(file) << "box = \"" << gateway.name << "\"\ndata_centre = \"hall\"\n"
                       << "callers = \"127.0.0.1:0\"\nready = \"127.0.0.1:0\"\n"
@@ -197,8 +197,8 @@
   this->processes.Start(gateway.name, "gullward-gateway", {"--settings=" + file});
 }
 
-// Starts again what has ended.
-void Soak::KeepRunning() {
+// Restarts gateways and engines whose process has ended.
+void Soak::RestartEnded() {
   for (size_t i = 0; i < this->gateways.size(); ++i) {
     if (!this->processes.IsRunning(this->gateways[i].name)) this->StartGateway(i);
   }
@@ -209,30 +209,31 @@
 
 void Soak::PutRecord(std::string_view topic, const std::string& key, const std::string& value) {
   this->store_calls.emplace_back(platform::AppendRecordRequest(topic, {key, value}),
-                                 [this, place = std::pair(std::string(topic), key), value] {
-                                   this->since_copy[place] = value;
+                                 [this, record = std::pair(std::string(topic), key), value] {
+                                   this->appended_since_copy[record] = value;
                                  });
-  this->NextStoreCall();
+  this->SendNextStoreCall();
 }
 
-void Soak::NextStoreCall() {
-  if (this->store_busy || this->store_calls.empty()) return;
-  this->store_busy = true;
+void Soak::SendNextStoreCall() {
+  if (this->store_is_busy || this->store_calls.empty()) return;
+  this->store_is_busy = true;
   this->store->Call(this->store_calls.front().first, seconds(1), [this](const StoreAnswer& answer) {
-    this->store_busy = false;
-    // A record written twice says the same.
+    this->store_is_busy = false;
+    // A call without an answer is repeated: appending the same record twice is harmless.
     if (answer.ok()) {
       std::function<void()> acknowledged = this->store_calls.front().second;
       this->store_calls.pop_front();
       if (acknowledged) acknowledged();
     }
-    this->Later(milliseconds(answer.ok() ? 0 : 100), [this] { this->NextStoreCall(); });
+    this->RunAfter(milliseconds(answer.ok() ? 0 : 100), [this] { this->SendNextStoreCall(); });
   });
 }
 
-// A new version with one key more, and the oldest taken away.
+// Publishes a new configuration version with one additional key.  Revokes the oldest key if more
+// than kKeysInForce are valid.
 void Soak::Publish() {
-  this->config_version += 1 + this->Draw(3);
+  this->config_version += 1 + this->RandomBelow(3);
   this->keys.push_back(absl::StrCat("key-", this->config_version));
   std::string dropped;
   if (this->keys.size() > kKeysInForce) {
@@ -251,122 +252,123 @@
       platform::AppendRecordRequest(platform::kConfigTopic,
                                     {std::string(platform::kConfigKey), text}),
       [this, dropped, text] {
-        this->since_copy[{std::string(platform::kConfigTopic), std::string(platform::kConfigKey)}] =
-            text;
+        this->appended_since_copy[{std::string(platform::kConfigTopic),
+                                   std::string(platform::kConfigKey)}] = text;
         if (!dropped.empty()) this->revoked[dropped] = Now();
       });
-  this->NextStoreCall();
+  this->SendNextStoreCall();
 }
 
 // -------------------------------------------------------------------- faults
 
-void Soak::HarmSomething() {
-  switch (this->Draw(4)) {
+void Soak::InjectFault() {
+  switch (this->RandomBelow(4)) {
     case 0:
-      return this->HarmGateway();
+      return this->InjectGatewayFault();
     case 1:
-      return this->HarmStore();
+      return this->InjectStoreFault();
     default:
-      return this->HarmEngine();
+      return this->InjectEngineFault();
   }
 }
 
-void Soak::HarmEngine() {
-  size_t place = this->Draw(this->engines.size());
-  EnginePlace& engine = this->engines[place];
+void Soak::InjectEngineFault() {
+  size_t index = this->RandomBelow(this->engines.size());
+  EngineProcess& engine = this->engines[index];
   std::string name = engine.name;
   LoopbackProxy* proxy = engine.proxy.get();
-  Duration span = milliseconds(100 + this->Draw(2500));
-  switch (this->Draw(6)) {
+  Duration span = milliseconds(100 + this->RandomBelow(2500));
+  switch (this->RandomBelow(6)) {
     case 0:
       return this->processes.Signal(name, SIGKILL);
     case 1:
       this->processes.Signal(name, SIGSTOP);
-      return this->Later(span, [this, name] { this->processes.Signal(name, SIGCONT); });
+      return this->RunAfter(span, [this, name] { this->processes.Signal(name, SIGCONT); });
     case 2:
       return proxy->ResetAll();
     case 3:
-      proxy->SetDelay(milliseconds(20 + this->Draw(300)));
-      return this->Later(span, [proxy] { proxy->SetDelay(Duration(0)); });
+      proxy->SetDelay(milliseconds(20 + this->RandomBelow(300)));
+      return this->RunAfter(span, [proxy] { proxy->SetDelay(Duration(0)); });
     default: {
-      auto direction = static_cast<LoopbackProxy::Direction>(this->Draw(2));
+      auto direction = static_cast<LoopbackProxy::Direction>(this->RandomBelow(2));
       proxy->SetSilent(direction, true);
-      return this->Later(span, [proxy, direction] { proxy->SetSilent(direction, false); });
+      return this->RunAfter(span, [proxy, direction] { proxy->SetSilent(direction, false); });
     }
   }
 }
 
-void Soak::HarmGateway() {
-  size_t place = this->Draw(this->gateways.size());
-  GatewayPlace& gateway = this->gateways[place];
+void Soak::InjectGatewayFault() {
+  size_t index = this->RandomBelow(this->gateways.size());
+  GatewayProcess& gateway = this->gateways[index];
   std::string name = gateway.name;
-  gateway.harmed = Now();
-  switch (this->Draw(4)) {
+  gateway.last_fault = Now();
+  switch (this->RandomBelow(4)) {
     case 0:
       return this->processes.Signal(name, SIGKILL);
     case 1:
-      gateway.stopping = true;
+      gateway.is_stopping = true;
       return this->processes.Signal(name, SIGTERM);
     case 2:
       return this->processes.Signal(name, SIGHUP);
     default:
       this->processes.Signal(name, SIGSTOP);
-      this->Later(milliseconds(50 + this->Draw(2500)), [this, name, place] {
-        this->gateways[place].harmed = Now();
+      this->RunAfter(milliseconds(50 + this->RandomBelow(2500)), [this, name, index] {
+        this->gateways[index].last_fault = Now();
         this->processes.Signal(name, SIGCONT);
       });
   }
 }
 
-void Soak::HarmStore() {
-  LoopbackProxy* proxy = this->gateways[this->Draw(this->gateways.size())].store_proxy.get();
-  Duration span = milliseconds(100 + this->Draw(4000));
-  switch (this->Draw(5)) {
+void Soak::InjectStoreFault() {
+  LoopbackProxy* proxy = this->gateways[this->RandomBelow(this->gateways.size())].store_proxy.get();
+  Duration span = milliseconds(100 + this->RandomBelow(4000));
+  switch (this->RandomBelow(5)) {
     case 0:
       this->processes.Signal("store", SIGSTOP);
-      return this->Later(span, [this] { this->processes.Signal("store", SIGCONT); });
+      return this->RunAfter(span, [this] { this->processes.Signal("store", SIGCONT); });
     case 1:
       return proxy->ResetAll();
     case 2: {
-      auto direction = static_cast<LoopbackProxy::Direction>(this->Draw(2));
+      auto direction = static_cast<LoopbackProxy::Direction>(this->RandomBelow(2));
       proxy->SetSilent(direction, true);
-      return this->Later(span, [proxy, direction] { proxy->SetSilent(direction, false); });
+      return this->RunAfter(span, [proxy, direction] { proxy->SetSilent(direction, false); });
     }
     default:
       return this->Publish();
   }
 }
 
-// A copy, a while of work, a short outage, the return, and then everybody writes again.
-void Soak::PlayReturns() {
-  constexpr uint64_t kMostWorkMs = 3000;
-  constexpr uint64_t kMostRestMs = 4000;
+// Runs one cycle: the store saves a copy, works for a while, stops for a short time and is
+// restored from the copy; then the lost records are written again.
+void Soak::ScheduleStoreReturn() {
+  constexpr uint64_t kMaxWorkMs = 3000;
+  constexpr uint64_t kMaxRestMs = 4000;
   if (Now() < this->next_return) return;
-  Duration work = milliseconds(200 + this->return_random() % kMostWorkMs);
-  Duration rest = milliseconds(this->return_random() % kMostRestMs);
-  this->next_return = Now() + work + kMostOutage + kWriteAgainWithin + rest;
+  Duration work = milliseconds(200 + this->return_random() % kMaxWorkMs);
+  Duration rest = milliseconds(this->return_random() % kMaxRestMs);
+  this->next_return = Now() + work + kMaxOutage + kMaxRewriteDelay + rest;
   this->processes.Signal("store", SIGHUP);
-  this->since_copy.clear();
-  this->Later(work, [this] { this->ReturnStore(); });
+  this->appended_since_copy.clear();
+  this->RunAfter(work, [this] { this->RestoreStore(); });
 }
 
-void Soak::ReturnStore() {
+void Soak::RestoreStore() {
   this->processes.Signal("store", SIGSTOP);
-  Duration outage = Duration(this->return_random() % kMostOutage.count());
-  this->Later(outage, [this] {
+  Duration outage = Duration(this->return_random() % kMaxOutage.count());
+  this->RunAfter(outage, [this] {
     this->processes.Signal("store", SIGHUP);
     this->processes.Signal("store", SIGCONT);
-    this->WriteAgain();
+    this->RewriteRecords();
   });
 }
 
-void Soak::WriteAgain() {
-  for (const auto& [place, value] : this->since_copy) {
-    Duration after = Duration(this->return_random() % kWriteAgainWithin.count());
-    this->Later(after, [this, place = place] {
-      auto newest = this->since_copy.find(place);
-      bool is_in_a_later_copy = newest == this->since_copy.end();
-      if (!is_in_a_later_copy) this->PutRecord(place.first, place.second, newest->second);
+void Soak::RewriteRecords() {
+  for (const auto& [record, value] : this->appended_since_copy) {
+    Duration after = Duration(this->return_random() % kMaxRewriteDelay.count());
+    this->RunAfter(after, [this, record = record] {
+      auto newest = this->appended_since_copy.find(record);
+      bool is_in_a_later_copy = newest == this->appended_since_copy.end();
+      if (!is_in_a_later_copy) this->PutRecord(record.first, record.second, newest->second);
     });
   }
 }
@@ -374,38 +376,38 @@
 // ------------------------------------------------------------------- callers
 
 void Soak::SendNext(size_t index) {
-  if (this->ending) return;
+  if (this->is_ending) return;
   Caller& caller = this->callers[index];
-  bool reuse = caller.channel && caller.channel->reusable() && this->Draw(4) != 0;
-  if (!reuse) {
-    caller.gateway = this->Draw(this->gateways.size());
+  bool can_reuse = caller.channel && caller.channel->reusable() && this->RandomBelow(4) != 0;
+  if (!can_reuse) {
+    caller.gateway = this->RandomBelow(this->gateways.size());
     const std::string& name = this->gateways[caller.gateway].name;
     absl::StatusOr<SocketAddress> address =
         SocketAddress::Parse(this->processes.ReadyAddress(name));
     if (!address.ok()) {
-      this->Later(milliseconds(50), [this, index] { this->SendNext(index); });
+      this->RunAfter(milliseconds(50), [this, index] { this->SendNext(index); });
       return;
     }
     if (caller.channel) caller.channel->Close();
     caller.channel = RequestChannel::Open(&this->loop, *address);
   }
   caller.id = absl::StrCat("soak-", this->options.seed, "-", ++this->sent_count);
-  caller.kind = static_cast<Kind>(this->Draw(3));
-  bool deadly = this->IsDeadly(index);
-  if (deadly) caller.kind = Kind::kStream;
-  bool use_revoked = !deadly && !this->revoked.empty() && this->Draw(10) == 0;
+  caller.kind = static_cast<Kind>(this->RandomBelow(3));
+  bool crashing = this->IsCrashingCaller(index);
+  if (crashing) caller.kind = Kind::kStream;
+  bool use_revoked = !crashing && !this->revoked.empty() && this->RandomBelow(10) == 0;
   caller.key = use_revoked ? std::next(this->revoked.begin(),
-                                       static_cast<long>(this->Draw(this->revoked.size())))
+                                       static_cast<long>(this->RandomBelow(this->revoked.size())))
                                  ->first
                            : this->keys.back();
   caller.sent = Now();
   caller.head = {};
   caller.body.clear();
-  caller.waiting = true;
-  auto gone = this->revoked.find(caller.key);
-  bool long_revoked =
-      gone != this->revoked.end() && caller.sent - gone->second > milliseconds(kKeyTrustMs);
-  if (long_revoked) this->must_not_run[caller.id] = "its key had been taken away";
+  caller.is_waiting = true;
+  auto revocation = this->revoked.find(caller.key);
+  bool long_revoked = revocation != this->revoked.end() &&
+                      caller.sent - revocation->second > milliseconds(kKeyTrustMs);
+  if (long_revoked) this->must_not_run[caller.id] = "its key had been revoked";
   if (caller.kind == Kind::kOnce) this->once_ids.push_back(caller.id);
 
   const char* paths[] = {"POST /chat/x", "GET /app/look/x", "POST /app/order/x"};
@@ -415,10 +417,10 @@
   AppendHeader(&request, platform::kDeadlineMs, absl::StrCat(kDeadlineMs));
   AppendHeader(&request, platform::kApiKey, caller.key);
   AppendHeader(&request, platform::kTokenCount, "1000,80");
-  std::string body = deadly ? kDeadlyBody : "";
+  std::string body = crashing ? kCrashingBody : "";
   AppendHeader(&request, "Content-Length", absl::StrCat(body.size()));
   request += "\r\n" + body;
-  if (deadly) this->NoteDeadlyTry(caller);
+  if (crashing) this->RecordCrashingRequest(caller);
   RequestChannel::Hooks hooks;
   hooks.head = [this, index](const ResponseHead& head) { this->callers[index].head = head; };
   hooks.body = [this, index](std::string_view bytes) { this->callers[index].body.append(bytes); };
@@ -428,47 +430,54 @@
 
 void Soak::OnDone(size_t index, ChannelResult result) {
   Caller& caller = this->callers[index];
-  if (!caller.waiting) return;
-  caller.waiting = false;
+  if (!caller.is_waiting) return;
+  caller.is_waiting = false;
   this->CheckAnswer(caller, result);
   bool refused = absl::StrContains(caller.body, "\"code\":2016");
-  if (refused && this->IsDeadly(index)) this->deadly_refused += 1;
-  if (refused && !this->IsDeadly(index)) this->Broken("deadly: " + caller.id + " was taken for it");
-  Duration pause = this->IsDeadly(index) ? kDeadlyPause : Duration(0);
-  this->Later(pause + milliseconds(this->Draw(20)), [this, index] { this->SendNext(index); });
+  if (refused && this->IsCrashingCaller(index)) this->crashing_refused += 1;
+  if (refused && !this->IsCrashingCaller(index))
+    this->ReportViolation("deadly: " + caller.id + " was refused as crashing");
+  Duration pause = this->IsCrashingCaller(index) ? kCrashingPause : Duration(0);
+  this->RunAfter(pause + milliseconds(this->RandomBelow(20)),
+                 [this, index] { this->SendNext(index); });
 }
 
 void Soak::CheckAnswer(const Caller& caller, ChannelResult result) {
   const std::string whole_stream = WholeStream();
-  bool whole = result == ChannelResult::kWholeAnswer;
-  bool success = caller.head.status == 200;
+  bool is_whole = result == ChannelResult::kWholeAnswer;
+  bool is_success = caller.head.status == 200;
   std::string id(FindHeader(caller.head.headers, platform::kAttemptId).value_or(caller.id));
-  if (id != caller.id) this->Broken("own: " + caller.id + " got the answer of " + id);
-  if (success && caller.kind == Kind::kStream) {
+  if (id != caller.id) this->ReportViolation("own: " + caller.id + " got the answer of " + id);
+  if (is_success && caller.kind == Kind::kStream) {
     bool is_beginning = whole_stream.compare(0, caller.body.size(), caller.body) == 0;
     if (!is_beginning)
-      this->Broken("order: " + caller.id + " got other events: " + Excerpt(caller.body));
-    if (whole && caller.body != whole_stream)
-      this->Broken("own: " + caller.id + " is not whole: " + Excerpt(caller.body));
-  } else if (success && whole && caller.body != kPlainBody) {
-    this->Broken("own: " + caller.id + " has another body");
+      this->ReportViolation("order: " + caller.id +
+                            " got unexpected events: " + Excerpt(caller.body));
+    if (is_whole && caller.body != whole_stream)
+      this->ReportViolation("own: " + caller.id + " is not complete: " + Excerpt(caller.body));
+  } else if (is_success && is_whole && caller.body != kPlainBody) {
+    this->ReportViolation("own: " + caller.id + " has an unexpected body");
   }
-  if (success && whole) this->served_count += 1;
-  if (whole && caller.kind == Kind::kOnce && PromisesNotRun(caller.head.status)) {
-    this->must_not_run[caller.id] = absl::StrCat("it was refused with ", caller.head.status);
+  if (is_success && is_whole) this->served_count += 1;
+  if (is_whole && caller.kind == Kind::kOnce && StatesNotRun(caller.head.status)) {
+    this->must_not_run[caller.id] = absl::StrCat("it was refused with status ", caller.head.status);
   }
 }
 
-// Gives up what is overdue, as a caller would, and judges whose fault it is.
+// Abandons overdue requests, as a caller would, and reports those whose gateway had no recent
+// fault.
 void Soak::CheckDeadlines() {
   Time now = Now();
   for (size_t i = 0; i < this->callers.size(); ++i) {
     Caller& caller = this->callers[i];
-    bool overdue = caller.waiting && now - caller.sent > milliseconds(kDeadlineMs) + kAnswerSlack;
+    bool overdue =
+        caller.is_waiting && now - caller.sent > milliseconds(kDeadlineMs) + kAnswerDelayAllowed;
     if (!overdue) continue;
-    bool harmed = now - this->gateways[caller.gateway].harmed < kExcusedAfterHarm + kAnswerSlack;
-    if (!harmed) this->Broken("on time: " + caller.id + " has no answer after its deadline");
-    caller.waiting = false;
+    bool had_recent_fault =
+        now - this->gateways[caller.gateway].last_fault < kGraceAfterFault + kAnswerDelayAllowed;
+    if (!had_recent_fault)
+      this->ReportViolation("on time: " + caller.id + " has no answer after its deadline");
+    caller.is_waiting = false;
     caller.channel->Close();
     this->SendNext(i);
   }
@@ -483,37 +492,44 @@
     }
   }
   for (const std::string& id : this->once_ids) {
-    if (runs[id] > 1) this->Broken(absl::StrCat("once: ", id, " ran ", runs[id], " times"));
+    if (runs[id] > 1)
+      this->ReportViolation(absl::StrCat("once: ", id, " ran ", runs[id], " times"));
   }
   for (const auto& [id, reason] : this->must_not_run) {
-    if (runs[id] > 0) this->Broken(absl::StrCat("refused: ", id, " ran although ", reason));
+    if (runs[id] > 0)
+      this->ReportViolation(absl::StrCat("refused: ", id, " ran although ", reason));
   }
-  if (this->options.deadly) this->CheckDeadly(runs);
+  if (this->options.crashing) this->CheckCrashingRequests(runs);
 }
 
-void Soak::NoteDeadlyTry(const Caller& caller) {
-  Time harmed = this->gateways[caller.gateway].harmed;
-  this->deadly_tries.push_back({caller.id, caller.sent, caller.sent - harmed > kExcusedAfterHarm});
+void Soak::RecordCrashingRequest(const Caller& caller) {
+  Time last_fault = this->gateways[caller.gateway].last_fault;
+  this->crashing_requests.push_back(
+      {caller.id, caller.sent, caller.sent - last_fault > kGraceAfterFault});
 }
 
-// Each run of it ends an engine.  After the third, and the time in which gateways hear of it,
-// those that nobody has harmed may send it on three times more.
-void Soak::CheckDeadly(std::map<std::string, int>& runs) {
-  constexpr int kShown = 3;
-  constexpr int kMostAfter = 3;
+// Each run of the request crashes an engine.  After the third crash and the time in which
+// gateways receive the crash reports, gateways without a recent fault may send it to at most
+// three more engines in total.
+void Soak::CheckCrashingRequests(std::map<std::string, int>& runs) {
+  constexpr int kCrashesToDetect = 3;
+  constexpr int kMaxRunsAfter = 3;
   int ran = 0;
   int ran_after = 0;
-  Time third = Time::max();
-  for (const DeadlyTry& one : this->deadly_tries) {
-    bool later = third != Time::max() && one.sent - third > kExcusedAfterHarm;
-    if (later && one.in_touch) ran_after += runs[one.id];
-    ran += runs[one.id];
-    if (ran >= kShown && third == Time::max()) third = one.sent;
+  Time third_crash = Time::max();
+  for (const CrashingRequest& request : this->crashing_requests) {
+    bool later = third_crash != Time::max() && request.sent - third_crash > kGraceAfterFault;
+    if (later && request.is_gateway_healthy) ran_after += runs[request.id];
+    ran += runs[request.id];
+    if (ran >= kCrashesToDetect && third_crash == Time::max()) third_crash = request.sent;
   }
-  if (ran_after > kMostAfter) {
-    this->Broken(absl::StrCat("deadly: ran ", ran_after, " times more, ", ran, " in all"));
+  if (ran_after > kMaxRunsAfter) {
+    this->ReportViolation(absl::StrCat("deadly: ran ", ran_after,
+                                       " times after the third crash was known, ", ran,
+                                       " times in all"));
   }
-  if (this->deadly_refused == 0) this->Broken("deadly: was never refused");
+  if (this->crashing_refused == 0)
+    this->ReportViolation("deadly: the crashing request was never refused");
 }
 
 }  // namespace gullward
--- a/src/soak/soak.h
+++ b/src/soak/soak.h
@@ -1,17 +1,21 @@
-// A randomized soak: real programs, faults from outside, promises checked meanwhile.
+// Randomized soak test: runs the real programs, injects faults from outside, and checks the
+// guarantees meanwhile.
 //
-// One store, some engines and some gateways run as separate processes.  Gateways
-// reach the store and the engines through loopback proxies.  A seed decides which
-// faults come when, in series and overlapping; callers keep sending, on kept
-// connections until the process behind them is gone.  What is checked:
+// One store, several engines and several gateways run as separate processes.  Gateways reach the
+// store and the engines through loopback proxies.  The seed determines which faults are injected
+// and when; they may overlap.  Callers send requests without pause and reuse their connections
+// until the process at the other end has ended.  These guarantees are checked; the name in the
+// first column begins the report of a violation (a violation of `revoked` is reported as
+// `refused`):
 //
-//   own      an answer carries the id of its request, and a success is whole
-//   order    what a stream delivers is a beginning of the right events, once each
-//   once     what may not be repeated runs at most once
-//   refused  what was refused with a promise did not run and does not run later
-//   on time  a gateway that nobody harmed gives a final answer by the deadline
-//   deadly   a request that ends engines reaches few, and is refused by a code of its own
-//   revoked  no request runs with a key that was taken away longer ago than allowed
+//   own      an answer has the id of its request, and a successful answer is complete
+//   order    a stream delivers a prefix of the expected events, each once
+//   once     a request that may not be repeated runs at most once
+//   refused  a request that was refused as not run did not run and does not run later
+//   on time  a gateway without a recent fault gives a final answer by the deadline
+//   deadly   a request that crashes engines reaches few engines and is refused with result
+//            code 2016; no other request is refused with this code
+//   revoked  no request runs with a key that was revoked longer ago than the key trust time
 //
 //   Soak soak({.seed = 7, .duration = seconds(10), .folder = "/tmp/soak"});
 //   std::vector<std::string> broken = soak.Run();
@@ -42,42 +46,43 @@
   int apps = 2;
   int gateways = 2;
   int callers = 12;
-  // One caller more sends a request that ends each engine that runs it, over and over.
-  // Gateways then reach engines directly: a proxy would hide that nobody listens any more.
-  bool deadly = false;
-  // The store comes back from older copies; what was written meanwhile, the operator and the
-  // engines write again.
-  bool returns = false;
+  // The first caller repeatedly sends a request that crashes every engine that runs it.
+  // Gateways then connect to engines directly: a proxy would still accept connections after its
+  // engine has crashed.
+  bool crashing = false;
+  // The store is repeatedly restored from an older copy.  The operator and the engines then
+  // write the lost records again.
+  bool store_returns = false;
 };
 
 class Soak {
  public:
   explicit Soak(const SoakOptions& soak_options);
 
-  // Plays the whole run; returns what was broken, one line each.
+  // Runs the whole soak; returns one line for each violation.
   std::vector<std::string> Run();
 
-  // Requests sent, and answers of success, for the report.
+  // The number of requests sent and of complete successful answers.
   uint64_t sent() const { return this->sent_count; }
   uint64_t served() const { return this->served_count; }
 
  private:
   enum class Kind { kStream, kSafe, kOnce };
 
-  // An engine's place: the process behind it and its id change, the proxy stays.
-  struct EnginePlace {
+  // One of the engines.  A restart changes its process and its id but not the proxy.
+  struct EngineProcess {
     std::string service;
     std::string name;
-    int lives = 0;
+    int incarnations = 0;
     std::unique_ptr<LoopbackProxy> proxy;
   };
-  struct GatewayPlace {
+  struct GatewayProcess {
     std::string name;
     std::unique_ptr<LoopbackProxy> store_proxy;
     SocketAddress callers;
-    // When it was last harmed, or started again.
-    Time harmed;
-    bool stopping = false;
+    // When the last fault was injected into the gateway or it was last started.
+    Time last_fault;
+    bool is_stopping = false;
   };
   struct Caller {
     std::shared_ptr<RequestChannel> channel;
@@ -86,46 +91,46 @@
     std::string key;
     Kind kind = Kind::kSafe;
     Time sent;
-    bool waiting = false;
+    bool is_waiting = false;
     ResponseHead head;
     std::string body;
   };
-  // A try of the request that ends engines.
-  struct DeadlyTry {
+  // One request that crashes engines.
+  struct CrashingRequest {
     std::string id;
     Time sent;
-    // The gateway had not been harmed for long.
-    bool in_touch = false;
+    // Whether the gateway had no fault for kGraceAfterFault before the request.
+    bool is_gateway_healthy = false;
   };
 
   void StartAll();
-  void StartEngine(size_t place);
-  void StartGateway(size_t place);
+  void StartEngine(size_t index);
+  void StartGateway(size_t index);
   void Publish();
   void PutRecord(std::string_view topic, const std::string& key, const std::string& value);
-  void NextStoreCall();
-  void RunUntil(const std::function<bool()>& condition, Duration patience);
-
-  void HarmSomething();
-  void HarmEngine();
-  void HarmGateway();
-  void HarmStore();
-  void PlayReturns();
-  void ReturnStore();
-  void WriteAgain();
-  void Later(Duration delay, std::function<void()> task);
-  void KeepRunning();
+  void SendNextStoreCall();
+  void RunUntil(const std::function<bool()>& condition, Duration timeout);
+
+  void InjectFault();
+  void InjectEngineFault();
+  void InjectGatewayFault();
+  void InjectStoreFault();
+  void ScheduleStoreReturn();
+  void RestoreStore();
+  void RewriteRecords();
+  void RunAfter(Duration delay, std::function<void()> task);
+  void RestartEnded();
 
   void SendNext(size_t caller);
   void OnDone(size_t caller, ChannelResult result);
   void CheckAnswer(const Caller& caller, ChannelResult result);
   void CheckDeadlines();
   void CheckRuns();
-  void NoteDeadlyTry(const Caller& caller);
-  void CheckDeadly(std::map<std::string, int>& runs);
-  bool IsDeadly(size_t caller) const { return this->options.deadly && caller == 0; }
-  void Broken(const std::string& what);
-  uint64_t Draw(uint64_t below) { return this->random() % below; }
+  void RecordCrashingRequest(const Caller& caller);
+  void CheckCrashingRequests(std::map<std::string, int>& runs);
+  bool IsCrashingCaller(size_t caller) const { return this->options.crashing && caller == 0; }
+  void ReportViolation(const std::string& what);
+  uint64_t RandomBelow(uint64_t below) { return this->random() % below; }
 
   SoakOptions options;
   std::mt19937_64 random;
@@ -133,29 +138,31 @@
   ProcessSet processes;
   std::unique_ptr<StoreClient> store;
   std::deque<std::pair<platform::StoreRequest, std::function<void()>>> store_calls;
-  bool store_busy = false;
-  // Returns are drawn apart, so that a seed's other faults are the same with and without.
+  bool store_is_busy = false;
+  // Separate random numbers for the store's returns, so that a seed gives the same other faults
+  // with and without them.
   std::mt19937_64 return_random;
   Time next_return{};
-  // The newest of each record acknowledged since the store's last copy, by topic and key.
-  std::map<std::pair<std::string, std::string>, std::string> since_copy;
-  std::vector<EnginePlace> engines;
-  std::vector<GatewayPlace> gateways;
+  // The newest value of each record acknowledged since the store's last copy, by topic and key.
+  std::map<std::pair<std::string, std::string>, std::string> appended_since_copy;
+  std::vector<EngineProcess> engines;
+  std::vector<GatewayProcess> gateways;
   std::vector<Caller> callers;
   std::vector<std::string> engine_outputs;
   uint64_t config_version = 0;
-  // Keys in force, oldest first, and when others were taken away (acknowledged).
+  // Valid API keys, oldest first, and when the store acknowledged the revocation of others.
   std::deque<std::string> keys;
   std::map<std::string, Time> revoked;
-  // Attempts that must not have run, with the reason; and those that may once.
+  // Ids of requests that must not have run, with the reason, and of requests that may run at
+  // most once.
   std::map<std::string, std::string> must_not_run;
   std::vector<std::string> once_ids;
-  std::vector<DeadlyTry> deadly_tries;
-  uint64_t deadly_refused = 0;
-  std::vector<std::string> broken;
+  std::vector<CrashingRequest> crashing_requests;
+  uint64_t crashing_refused = 0;
+  std::vector<std::string> violations;
   uint64_t sent_count = 0;
   uint64_t served_count = 0;
-  bool ending = false;
+  bool is_ending = false;
 };
 
 }  // namespace gullward
--- a/src/soak/testing/loopback_proxy_test.cc
+++ b/src/soak/testing/loopback_proxy_test.cc
@@ -1,5 +1,5 @@
-// The proxy harms connections only as a network can: late, held or reset, never with
-// bytes out of order or missing in the middle.
+// Tests that the proxy injects only faults that a network can have: it delays, holds or resets,
+// but never reorders bytes or drops bytes from the middle of a connection.
 
 #define BOOST_TEST_MODULE loopback_proxy
 #include "soak/loopback_proxy.h"
@@ -11,15 +11,15 @@
 namespace gullward {
 namespace {
 
-constexpr Duration kPatience = seconds(20);
+constexpr Duration kTestTimeout = seconds(20);
 
-// A server that keeps what it gets, and a client, with the proxy between them.
-struct World {
-  World() {
+// A server that records the bytes it receives, and a client, with the proxy between them.
+struct ProxyFixture {
+  ProxyFixture() {
     absl::Status status = this->listener.Listen(&this->loop, {"127.0.0.1", 0}, [this](int fd) {
       this->server = TcpStream::Adopt(&this->loop, fd);
-      this->server->SetHooks({.data = [this](std::string_view bytes) { this->got += bytes; },
-                              .closed = [this](StreamEnd how) { this->ended = how; },
+      this->server->SetHooks({.data = [this](std::string_view bytes) { this->received += bytes; },
+                              .closed = [this](StreamEnd stream_end) { this->end = stream_end; },
                               .drained = {},
                               .connected = {}});
     });
@@ -29,11 +29,11 @@
     this->client = TcpStream::Connect(&this->loop, this->proxy->address());
     this->client->SetHooks({.data = {}, .closed = {}, .drained = {}, .connected = {}});
     this->client->Write("0");
-    BOOST_REQUIRE(this->RunUntil([this] { return this->got == "0"; }));
+    BOOST_REQUIRE(this->RunUntil([this] { return this->received == "0"; }));
   }
 
   bool RunUntil(const std::function<bool()>& condition) {
-    Time until = Now() + kPatience;
+    Time until = Now() + kTestTimeout;
     while (!condition()) {
       if (Now() > until) return false;
       this->loop.RunOnce(milliseconds(10));
@@ -46,44 +46,44 @@
   std::shared_ptr<TcpStream> server;
   std::unique_ptr<LoopbackProxy> proxy;
   std::shared_ptr<TcpStream> client;
-  std::string got;
-  std::optional<StreamEnd> ended;
+  std::string received;
+  std::optional<StreamEnd> end;
 };
 
 BOOST_AUTO_TEST_CASE(BytesKeepTheirOrderWhenADelayEndsOrShrinks) {
-  World world;
-  world.proxy->SetDelay(milliseconds(300));
-  world.client->Write("1");
-  // The proxy has taken it, and delays it, when a second lot has come after it.
-  world.loop.RunAfter(milliseconds(60), [&] {
-    world.proxy->SetDelay(milliseconds(20));
-    world.client->Write("2");
+  ProxyFixture fixture;
+  fixture.proxy->SetDelay(milliseconds(300));
+  fixture.client->Write("1");
+  // By then the proxy has received "1" and delays it.
+  fixture.loop.RunAfter(milliseconds(60), [&] {
+    fixture.proxy->SetDelay(milliseconds(20));
+    fixture.client->Write("2");
   });
-  world.loop.RunAfter(milliseconds(120), [&] {
-    world.proxy->SetDelay(Duration(0));
-    world.client->Write("3");
+  fixture.loop.RunAfter(milliseconds(120), [&] {
+    fixture.proxy->SetDelay(Duration(0));
+    fixture.client->Write("3");
   });
-  BOOST_TEST(world.RunUntil([&] { return world.got.size() == 4; }));
-  BOOST_TEST(world.got == "0123");
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.received.size() == 4; }));
+  BOOST_TEST(fixture.received == "0123");
 }
 
-BOOST_AUTO_TEST_CASE(AnEndComesAfterWhatWasDelayed) {
-  World world;
-  world.proxy->SetDelay(milliseconds(300));
-  world.client->Write("1");
-  world.client->FinishAndClose();
-  BOOST_TEST(world.RunUntil([&] { return world.ended.has_value(); }));
-  BOOST_TEST(world.got == "01");
+BOOST_AUTO_TEST_CASE(TheEndIsForwardedAfterDelayedBytes) {
+  ProxyFixture fixture;
+  fixture.proxy->SetDelay(milliseconds(300));
+  fixture.client->Write("1");
+  fixture.client->FinishAndClose();
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.end.has_value(); }));
+  BOOST_TEST(fixture.received == "01");
 }
 
-BOOST_AUTO_TEST_CASE(AnEndBehindBytesThatACutHoldsIsAReset) {
-  World world;
-  world.proxy->SetSilent(LoopbackProxy::kFromClient, true);
-  world.client->Write("1");
-  world.client->FinishAndClose();
-  BOOST_TEST(world.RunUntil([&] { return world.ended.has_value(); }));
-  BOOST_TEST(world.got == "0");
-  BOOST_TEST((world.ended != StreamEnd::kFinished));
+BOOST_AUTO_TEST_CASE(TheEndBecomesAResetIfASilentDirectionHoldsBytes) {
+  ProxyFixture fixture;
+  fixture.proxy->SetSilent(LoopbackProxy::kFromClient, true);
+  fixture.client->Write("1");
+  fixture.client->FinishAndClose();
+  BOOST_TEST(fixture.RunUntil([&] { return fixture.end.has_value(); }));
+  BOOST_TEST(fixture.received == "0");
+  BOOST_TEST((fixture.end != StreamEnd::kFinished));
 }
 
 }  // namespace
--- a/src/standins/answer.h
+++ b/src/standins/answer.h
@@ -1,9 +1,9 @@
-// What the stand-in engine answers: a pure function of the prompt.
+// The answer of the stand-in engine, a pure function of the prompt.
 //
-// The answer grows one token at a time, each from a running hash of all the text
-// before it, as a language model's does.  So whoever knows the prompt can check
-// the whole answer, and an answer that is continued elsewhere, from the prompt
-// and what was already generated, is the same as one that never broke.
+// As with a language model, each token depends on all text before it: it is derived from a
+// running hash of the prompt and the tokens so far.  A test can therefore compute the expected
+// answer from the prompt.  An answer that another engine continues, from the prompt and the
+// tokens generated so far, equals an answer that was never interrupted.
 //
 //   std::string text = ExpectedAnswer(prompt, max_tokens);
 
@@ -16,28 +16,28 @@
 
 namespace gullward {
 
-// Bytes of text in a token of the stand-in engine.
+// Length in bytes of a token of the stand-in engine.
 inline constexpr uint64_t kBytesPerToken = 5;
 
 inline constexpr uint64_t kAnswerSeed = 14695981039346656037u;
 
-// About one token in so many ends the answer.
-inline constexpr uint64_t kStopEvery = 64;
+// Mean number of tokens until an answer ends by itself.
+inline constexpr uint64_t kMeanAnswerTokens = 64;
 
 inline uint64_t TokensOf(uint64_t bytes) { return (bytes + kBytesPerToken - 1) / kBytesPerToken; }
 
-// The hash of text that follows text with this hash.
+// Extends the hash of a text by the text that follows it (FNV-1a).
 inline uint64_t ContinueHash(uint64_t hash, std::string_view text) {
   for (unsigned char c : text) hash = (hash ^ c) * 1099511628211u;
   return hash;
 }
 
-// The token that follows text with this hash; empty at the answer's end.
+// The token that follows a text with this hash; empty if the answer ends there.
 inline std::string NextToken(uint64_t hash) {
   uint64_t mixed = hash ^ (hash >> 29);
   mixed *= 0xbf58476d1ce4e5b9u;
   mixed ^= mixed >> 32;
-  if (mixed % kStopEvery == 0) return "";
+  if (mixed % kMeanAnswerTokens == 0) return "";
   static constexpr char kConsonants[] = "bdfgklmnprstvz";
   static constexpr char kVowels[] = "aeiou";
   std::string token;
@@ -49,7 +49,7 @@
   return token;
 }
 
-// The whole answer to a prompt.
+// The complete answer to a prompt.
 inline std::string ExpectedAnswer(std::string_view prompt, uint32_t max_tokens) {
   uint64_t hash = ContinueHash(kAnswerSeed, prompt);
   std::string answer;
--- a/src/standins/engine_main.cc
+++ b/src/standins/engine_main.cc
@@ -1,10 +1,10 @@
 // standin-engine: a model engine's HTTP interface over EngineModel.
 //
 //   POST   /v1/completions        a streamed completion (docs/ENGINES.md)
-//   GET    /v1/allocations        what memory is held, by name
-//   DELETE /v1/allocations/NAME   cancel and free
-//   GET    /v1/kv/NAME            export of a kept piece: its hash and size
-//   GET    /stats                 counts, for tests
+//   GET    /v1/allocations        memory held, by allocation name
+//   DELETE /v1/allocations/NAME   cancels a job and frees its memory
+//   GET    /v1/kv/NAME            exports a kept piece of a prompt: its hash and token count
+//   GET    /stats                 counters, for tests
 //   POST   /fault                 see standins/fault.h
 
 #include <gflags/gflags.h>
@@ -23,12 +23,12 @@
 #include "standins/fault.h"
 
 DEFINE_string(listen, "127.0.0.1:0", "address to listen on");
-DEFINE_string(model, "base", "name of the model that is loaded");
-DEFINE_int64(memory_tokens, 400000, "KV-cache memory");
-DEFINE_int64(cache_tokens, 200000, "prefix cache");
-DEFINE_double(tokens_per_second, 20000, "prefill speed of the first tokens");
-DEFINE_double(seconds_per_token_pair, 1e-10, "attention's part of the prefill time");
-DEFINE_double(step_seconds, 0.004, "least time of a step");
+DEFINE_string(model, "base", "name of the loaded model");
+DEFINE_int64(memory_tokens, 400000, "size of the KV cache, in tokens");
+DEFINE_int64(cache_tokens, 200000, "size of the prefix cache, in tokens");
+DEFINE_double(tokens_per_second, 20000, "prefill speed without the time for attention");
+DEFINE_double(seconds_per_token_pair, 1e-10, "attention time of the prefill per pair of tokens");
+DEFINE_double(step_seconds, 0.004, "minimum duration of a step");
 
 namespace gullward {
 namespace {
@@ -42,14 +42,15 @@
 
 HttpResponse JsonAnswer(int status, const json& body) { return {status, kJson, {}, body.dump()}; }
 
-// A completion whose context is still being fetched from other engines.
-struct Pending {
+// A completion that waits until its context has been fetched from other engines.
+struct PendingCompletion {
   EngineJob job;
   ExchangePtr exchange;
   std::string prompt;
   size_t contexts_left = 0;
   bool failed = false;
-  // The hash and the tokens of the last piece, and of all.
+  // The hash and the token count of each earlier piece of the prompt, in order.  The hash of the
+  // last piece covers all of them.
   std::vector<std::pair<uint64_t, uint64_t>> contexts;
 };
 
@@ -90,7 +91,7 @@
       if (this->faults.freeze_ms > 0) {
         std::this_thread::sleep_for(milliseconds(this->faults.freeze_ms));
       }
-      this->model.SetSlowness(this->faults.slow);
+      this->model.SetSlowdown(this->faults.slow);
     } else if (path == "/v1/completions" && exchange->method == "POST") {
       this->Complete(exchange);
     } else if (path == "/v1/allocations") {
@@ -118,13 +119,13 @@
   }
 
   void FreeAllocation(const ExchangePtr& exchange, const std::string& name) {
-    bool known = this->model.Free(name);
+    bool was_held = this->model.Free(name);
     auto stream = this->streams.find(name);
     if (stream != this->streams.end()) {
       stream->second->Abort();
       this->streams.erase(stream);
     }
-    exchange->Respond(JsonAnswer(known ? 200 : 404, json::object()));
+    exchange->Respond(JsonAnswer(was_held ? 200 : 404, json::object()));
   }
 
   void ExportKv(const ExchangePtr& exchange, const std::string& name) {
@@ -139,13 +140,13 @@
 
   void Complete(const ExchangePtr& exchange) {
     json body = json::parse(exchange->body, nullptr, false);
-    bool shaped = body.is_object() && body.contains("prompt") && body["prompt"].is_string() &&
-                  !body.value("allocation", std::string()).empty();
-    if (!shaped || body.value("model", std::string()) != FLAGS_model) {
-      exchange->Respond(JsonAnswer(shaped ? 404 : 400, {{"error", "unknown model or bad body"}}));
+    bool is_valid = body.is_object() && body.contains("prompt") && body["prompt"].is_string() &&
+                    !body.value("allocation", std::string()).empty();
+    if (!is_valid || body.value("model", std::string()) != FLAGS_model) {
+      exchange->Respond(JsonAnswer(is_valid ? 404 : 400, {{"error", "unknown model or bad body"}}));
       return;
     }
-    auto pending = std::make_shared<Pending>();
+    auto pending = std::make_shared<PendingCompletion>();
     pending->exchange = exchange;
     pending->prompt = body["prompt"].get<std::string>();
     pending->job.allocation = body["allocation"].get<std::string>();
@@ -160,7 +161,8 @@
     if (contexts.empty()) this->Submit(*pending);
   }
 
-  void ImportKv(const std::shared_ptr<Pending>& pending, const json& context, size_t index) {
+  void ImportKv(const std::shared_ptr<PendingCompletion>& pending, const json& context,
+                size_t index) {
     HttpCall call;
     call.url = "http://" + context.value("address", std::string()) + kKvPath +
                context.value("allocation", std::string());
@@ -183,7 +185,7 @@
     this->client.Start(std::move(call), {nullptr, std::move(done)});
   }
 
-  void Submit(const Pending& pending) {
+  void Submit(const PendingCompletion& pending) {
     EngineJob job = pending.job;
     job.prompt_tokens = TokensOf(pending.prompt.size());
     uint64_t before = kAnswerSeed;
@@ -193,9 +195,9 @@
     }
     job.hash = ContinueHash(before, pending.prompt);
     if (pending.contexts.empty()) job.prefixes = PrefixHashes(pending.prompt);
-    EngineModel::Submitted submitted = this->model.Submit(job, Now());
-    if (submitted != EngineModel::Submitted::kOk) {
-      bool memory = submitted == EngineModel::Submitted::kNoMemory;
+    EngineModel::SubmitResult submitted = this->model.Submit(job, Now());
+    if (submitted != EngineModel::SubmitResult::kOk) {
+      bool memory = submitted == EngineModel::SubmitResult::kNoMemory;
       pending.exchange->Respond(JsonAnswer(memory ? 507 : 409, json::object()));
       return;
     }
@@ -206,11 +208,11 @@
     this->Schedule();
   }
 
-  // Runs Advance when the step under way ends; only the newest plan counts.
+  // Schedules Advance for the end of the current step, unless it is already scheduled for then.
   void Schedule() {
     std::optional<Time> next = this->model.NextEvent();
-    if (!next || *next == this->planned) return;
-    this->planned = *next;
+    if (!next || *next == this->next_advance) return;
+    this->next_advance = *next;
     this->loop->RunAfter(*next - Now(), [this] { this->Advance(); });
   }
 
@@ -224,9 +226,9 @@
     if (found == this->streams.end()) return;
     ExchangePtr exchange = found->second;
     if (!event.finished) {
-      bool cut = this->faults.cut_after_tokens >= 0 &&
-                 this->tokens_sent[event.allocation] >= this->faults.cut_after_tokens;
-      if (cut) {
+      bool must_abort = this->faults.cut_after_tokens >= 0 &&
+                        this->tokens_sent[event.allocation] >= this->faults.cut_after_tokens;
+      if (must_abort) {
         this->faults.cut_after_tokens = -1;
         exchange->Abort();
         this->model.Free(event.allocation);
@@ -264,7 +266,7 @@
   Faults faults;
   std::map<std::string, ExchangePtr> streams;
   std::map<std::string, int64_t> tokens_sent;
-  Time planned;
+  Time next_advance;
   uint64_t started = 0;
   uint64_t finished = 0;
 };
--- a/src/standins/engine_model.cc
+++ b/src/standins/engine_model.cc
@@ -1,4 +1,4 @@
-// engine_model.h tells the time model.
+// Steps, memory and prefix cache of the simulated engine.
 
 #include "standins/engine_model.h"
 
@@ -10,25 +10,26 @@
 
 EngineModel::EngineModel(const EngineModelOptions& model_options) : options(model_options) {}
 
-EngineModel::Submitted EngineModel::Submit(const EngineJob& job, Time now) {
-  if (this->held.count(job.allocation) > 0) return Submitted::kDuplicate;
+EngineModel::SubmitResult EngineModel::Submit(const EngineJob& job, Time now) {
+  if (this->held.count(job.allocation) > 0) return SubmitResult::kDuplicate;
   uint64_t needed = job.prompt_tokens + (job.keep ? 0 : job.max_tokens);
   uint64_t tokens = std::max(job.memory_tokens, needed);
-  if (tokens > this->free_tokens()) return Submitted::kNoMemory;
+  if (tokens > this->free_tokens()) return SubmitResult::kNoMemory;
   this->held[job.allocation] = {tokens, job.prompt_tokens, job.hash, false};
   this->held_tokens += tokens;
   Running running_job;
   running_job.job = job;
-  // The last token is always computed: it is what the answer begins with.
-  uint64_t most = job.prompt_tokens > 0 ? job.prompt_tokens - 1 : 0;
-  running_job.cached = std::min(this->CachedTokens(job), most);
+  // The last prompt token is never taken from the cache: computing it gives the first token of
+  // the answer.
+  uint64_t max_cached = job.prompt_tokens > 0 ? job.prompt_tokens - 1 : 0;
+  running_job.cached = std::min(this->CachedTokens(job), max_cached);
   running_job.prefilled = running_job.cached;
   auto place = std::upper_bound(
       this->running.begin(), this->running.end(), running_job,
       [](const Running& a, const Running& b) { return a.job.priority < b.job.priority; });
   this->running.insert(place, std::move(running_job));
-  if (!this->stepping) this->BeginStep(now);
-  return Submitted::kOk;
+  if (!this->is_stepping) this->BeginStep(now);
+  return SubmitResult::kOk;
 }
 
 bool EngineModel::Free(const std::string& allocation) {
@@ -48,59 +49,59 @@
 
 std::vector<EngineEvent> EngineModel::AdvanceTo(Time now) {
   std::vector<EngineEvent> events;
-  while (this->stepping && this->step_end <= now) this->EndStep(&events);
+  while (this->is_stepping && this->step_end <= now) this->EndStep(&events);
   return events;
 }
 
 std::optional<Time> EngineModel::NextEvent() const {
-  if (!this->stepping) return std::nullopt;
+  if (!this->is_stepping) return std::nullopt;
   return this->step_end;
 }
 
 void EngineModel::BeginStep(Time now) {
   if (this->running.empty()) {
-    this->stepping = false;
+    this->is_stepping = false;
     return;
   }
   double step = this->options.step_seconds;
   uint64_t budget = this->options.chunk_tokens;
   for (Running& item : this->running) {
-    item.in_step = 0;
-    item.answering = item.prefilled == item.job.prompt_tokens;
-    if (item.answering) {
+    item.step_tokens = 0;
+    item.is_answering = item.prefilled == item.job.prompt_tokens;
+    if (item.is_answering) {
       step += this->options.answer_seconds;
       continue;
     }
-    item.in_step = std::min(budget, item.job.prompt_tokens - item.prefilled);
-    budget -= item.in_step;
+    item.step_tokens = std::min(budget, item.job.prompt_tokens - item.prefilled);
+    budget -= item.step_tokens;
     uint64_t from = item.job.before_tokens + item.prefilled;
-    double work = Seconds(this->options.speed, from, from + item.in_step);
-    item.prefill_seconds += work * this->slowness;
+    double work = Seconds(this->options.speed, from, from + item.step_tokens);
+    item.prefill_seconds += work * this->slowdown;
     step += work;
   }
-  this->stepping = true;
-  this->step_end = now + std::max(FromSeconds(step * this->slowness), Duration(1));
+  this->is_stepping = true;
+  this->step_end = now + std::max(FromSeconds(step * this->slowdown), Duration(1));
 }
 
 void EngineModel::EndStep(std::vector<EngineEvent>* events) {
   Time end = this->step_end;
   std::vector<std::string> finished;
   for (Running& item : this->running) {
-    bool over = false;
-    if (item.answering) {
-      over = this->AddToken(&item, events);
-    } else if (item.in_step > 0) {
-      item.prefilled += item.in_step;
+    bool is_finished = false;
+    if (item.is_answering) {
+      is_finished = this->AddToken(&item, events);
+    } else if (item.step_tokens > 0) {
+      item.prefilled += item.step_tokens;
       if (item.prefilled < item.job.prompt_tokens) continue;
-      this->RememberPrefixes(item.job);
+      this->CachePrefixes(item.job);
       if (item.job.keep) {
         this->FinishPrefill(&item, events);
-        over = true;
+        is_finished = true;
       } else {
-        over = this->AddToken(&item, events);
+        is_finished = this->AddToken(&item, events);
       }
     }
-    if (over) finished.push_back(item.job.allocation);
+    if (is_finished) finished.push_back(item.job.allocation);
   }
   for (const std::string& allocation : finished) {
     std::erase_if(this->running,
@@ -126,8 +127,8 @@
 bool EngineModel::AddToken(Running* item, std::vector<EngineEvent>* events) {
   std::string token;
   if (item->answered < item->job.max_tokens) token = NextToken(item->job.hash);
-  bool more = !token.empty();
-  if (more) {
+  bool has_token = !token.empty();
+  if (has_token) {
     EngineEvent event;
     event.allocation = item->job.allocation;
     event.at = this->step_end;
@@ -141,7 +142,7 @@
   last.allocation = item->job.allocation;
   last.at = this->step_end;
   last.finished = true;
-  last.finish_reason = more ? "length" : "stop";
+  last.finish_reason = has_token ? "length" : "stop";
   last.prompt_tokens = item->job.prompt_tokens;
   last.cached_tokens = item->cached;
   last.answer_tokens = item->answered;
@@ -158,7 +159,7 @@
   return tokens;
 }
 
-void EngineModel::RememberPrefixes(const EngineJob& job) {
+void EngineModel::CachePrefixes(const EngineJob& job) {
   uint64_t before = 0;
   for (const PrefixHash& prefix : job.prefixes) {
     uint64_t tokens = prefix.bytes / kBytesPerToken - before;
--- a/src/standins/engine_model.h
+++ b/src/standins/engine_model.h
@@ -1,13 +1,14 @@
-// A model engine in thought: continuous batching with a time model.
+// Simulates a model engine: continuous batching with a time model.
 //
-// The engine works in steps.  Each step prefills up to chunk_tokens of the most
-// urgent prompts and adds one token to every answer under way; it takes
+// The engine works in steps.  Each step prefills up to chunk_tokens tokens of the prompts with
+// the lowest priority number and adds one token to every answer in progress.  A step takes
 //
-//   step + prefill tokens * a + pairs of tokens compared * b + answers * d
+//   step_seconds + prefill time + answers * answer_seconds
 //
-// seconds.  Memory is counted in tokens and held by allocation name.  Time is
-// passed in, so the trials run it as fast as they like and the stand-in program
-// runs it on the machine's clock.
+// seconds; base/prefill_speed.h defines the prefill time, which has a part for each token and a
+// part for each pair of tokens.  Memory is counted in tokens and held under the name of an
+// allocation.  The caller passes the time, so the trials can run the model on simulated time and
+// the stand-in program on the system clock.
 //
 //   EngineModel engine(options);
 //   engine.Submit(job, now);
@@ -43,13 +44,13 @@
   std::string allocation;
   uint64_t memory_tokens = 0;
   uint64_t prompt_tokens = 0;
-  // Tokens of earlier pieces, held elsewhere.
+  // Tokens of earlier pieces of the prompt, which other engines hold.
   uint64_t before_tokens = 0;
   uint32_t max_tokens = 0;
   uint32_t priority = 0;
-  // Only prefill, and keep the memory.
+  // Prefill only, and keep the memory afterwards.
   bool keep = false;
-  // Hash of the whole text so far.
+  // Hash of the whole text up to the end of this prompt (ContinueHash).
   uint64_t hash = 0;
   std::vector<PrefixHash> prefixes;
 };
@@ -57,7 +58,7 @@
 struct EngineEvent {
   std::string allocation;
   Time at;
-  // A token of the answer; empty in the last event.
+  // A token of the answer; empty in the last event of a job.
   std::string text;
   bool finished = false;
   std::string finish_reason;
@@ -67,7 +68,7 @@
   double prefill_seconds = 0;
 };
 
-// What an allocation holds.
+// The memory held under one allocation, and what it holds.
 struct EngineHolding {
   uint64_t tokens = 0;
   uint64_t prompt_tokens = 0;
@@ -77,23 +78,23 @@
 
 class EngineModel {
  public:
-  enum class Submitted { kOk, kNoMemory, kDuplicate };
+  enum class SubmitResult { kOk, kNoMemory, kDuplicate };
 
   explicit EngineModel(const EngineModelOptions& options);
 
-  Submitted Submit(const EngineJob& job, Time now);
+  SubmitResult Submit(const EngineJob& job, Time now);
 
-  // Cancels and frees; false where there is no such allocation.
+  // Cancels the job and frees its memory.  Returns false if the allocation does not exist.
   bool Free(const std::string& allocation);
 
-  // Runs the steps that end by `now`; their events in order.
+  // Runs the steps that end by `now` and returns their events in order.
   std::vector<EngineEvent> AdvanceTo(Time now);
 
-  // When the step under way ends; none where the engine is idle.
+  // When the current step ends; empty if the engine is idle.
   std::optional<Time> NextEvent() const;
 
-  // Multiplies the time of steps that begin from now on.
-  void SetSlowness(double factor) { this->slowness = factor; }
+  // Multiplies the duration of steps that begin from now on.
+  void SetSlowdown(double factor) { this->slowdown = factor; }
 
   const std::map<std::string, EngineHolding>& holdings() const { return this->held; }
   uint64_t free_tokens() const { return this->options.memory_tokens - this->held_tokens; }
@@ -106,9 +107,9 @@
     uint64_t prefilled = 0;
     uint64_t answered = 0;
     double prefill_seconds = 0;
-    // Prompt tokens in the step under way.
-    uint64_t in_step = 0;
-    bool answering = false;
+    // Prompt tokens that the current step prefills.
+    uint64_t step_tokens = 0;
+    bool is_answering = false;
   };
 
   void BeginStep(Time now);
@@ -116,17 +117,17 @@
   void FinishPrefill(Running* running, std::vector<EngineEvent>* events);
   bool AddToken(Running* running, std::vector<EngineEvent>* events);
   uint64_t CachedTokens(const EngineJob& job) const;
-  void RememberPrefixes(const EngineJob& job);
+  void CachePrefixes(const EngineJob& job);
   void ReleaseMemory(const std::string& allocation);
 
   EngineModelOptions options;
   std::map<std::string, EngineHolding> held;
   uint64_t held_tokens = 0;
-  // In order of priority, then of arrival.
+  // Ordered by priority, then by arrival.
   std::vector<Running> running;
-  bool stepping = false;
+  bool is_stepping = false;
   Time step_end;
-  double slowness = 1;
+  double slowdown = 1;
   std::unordered_map<uint64_t, uint64_t> cache;
   std::deque<uint64_t> cache_order;
   uint64_t cached_total = 0;
--- a/src/standins/engine_process_main.cc
+++ b/src/standins/engine_process_main.cc
@@ -1,7 +1,7 @@
-// standin-model-engine: an EngineStandin as a process of its own, for the soak.
+// standin-model-engine: runs an EngineStandin as a separate process, for the soak.
 //
-// It writes "ran ATTEMPT-ID" to standard output for each request that it runs,
-// within a millisecond of taking it.
+// Writes "ran ATTEMPT-ID" to standard output for each request that it runs, within a millisecond
+// of receiving the request.
 
 #include <gflags/gflags.h>
 
@@ -11,21 +11,23 @@
 #include "process/process.h"
 #include "standins/engine_standin.h"
 
-DEFINE_string(id, "engine", "the engine's id");
-DEFINE_int32(events, 20, "events of a stream");
-DEFINE_int32(work_ms, 20, "how long a request takes before its answer");
-DEFINE_string(ends_on, "", "the process ends when it has worked on a request with this body");
+DEFINE_string(id, "engine", "id of the engine");
+DEFINE_int32(events, 20, "number of events in a complete stream");
+DEFINE_int32(work_ms, 20, "time from a request to its answer, in milliseconds");
+DEFINE_string(ends_on, "",
+              "body of requests that crash the engine: the process ends after --work_ms");
 
 namespace gullward {
 namespace {
 
-// Tells the requests that have run since the last call.
-void TellRuns(const EngineStandin& engine, size_t* told) {
-  for (; *told < engine.received().size(); ++*told) {
-    const EngineStandin::ReceivedRequest& seen = engine.received()[*told];
+// Prints the requests that have run since the last call; `*printed` counts the requests printed
+// or skipped so far.
+void PrintRuns(const EngineStandin& engine, size_t* printed) {
+  for (; *printed < engine.received().size(); ++*printed) {
+    const EngineStandin::ReceivedRequest& request = engine.received()[*printed];
     std::optional<std::string_view> id =
-        FindHeader(seen.request.head.headers, platform::kAttemptId);
-    if (seen.ran && id) std::printf("ran %.*s\n", static_cast<int>(id->size()), id->data());
+        FindHeader(request.request.head.headers, platform::kAttemptId);
+    if (request.ran && id) std::printf("ran %.*s\n", static_cast<int>(id->size()), id->data());
   }
   std::fflush(stdout);
 }
@@ -35,7 +37,7 @@
 
 int main(int argc, char** argv) {
   using namespace gullward;
-  InitProcess("standin-model-engine --id ID: a model engine's stand-in", &argc, &argv);
+  InitProcess("standin-model-engine --id ID: stand-in for a model engine", &argc, &argv);
   EventLoop loop;
   HandleStopSignals(&loop, [&] { loop.Stop(); });
   EngineStandin::Options options;
@@ -49,10 +51,10 @@
     options.on_crash = [&loop] { loop.Stop(); };
   }
   EngineStandin engine(&loop, options);
-  size_t told = 0;
-  loop.RunEvery(milliseconds(1), [&] { TellRuns(engine, &told); });
+  size_t printed = 0;
+  loop.RunEvery(milliseconds(1), [&] { PrintRuns(engine, &printed); });
   WriteReadyFile(engine.address().ToString());
   loop.Run();
-  TellRuns(engine, &told);
+  PrintRuns(engine, &printed);
   return 0;
 }
--- a/src/standins/engine_standin.cc
+++ b/src/standins/engine_standin.cc
@@ -1,5 +1,5 @@
-// Every fault is played at the one place of an answer where it belongs; whatever a
-// fault leaves alone goes on as on a sound engine.
+// Each fault changes one part of an answer; everything else is sent as by an engine without
+// faults.
 
 #include "standins/engine_standin.h"
 
@@ -19,7 +19,7 @@
 
 std::string Event(int id) { return absl::StrCat("id: ", id, "\ndata: event-", id, "\n\n"); }
 
-// What a fault does to a sealed answer's head, or sends ahead of it.
+// Applies a fault to the head of a sealed answer, or sends a foreign answer ahead of it.
 void PlayHeadFault(EngineFault fault, CallerChannel* channel, AnswerHead* head) {
   if (fault == EngineFault::kEncoded) head->headers.emplace_back("Content-Encoding", "gzip");
   if (fault == EngineFault::kForeignFirst) {
@@ -33,7 +33,7 @@
 
 const std::vector<EngineFault>& AllEngineFaults() {
   static const auto* const all = new std::vector<EngineFault>{
-      EngineFault::kNotRun,       EngineFault::kBusyUnsure,      EngineFault::kWrongEngine,
+      EngineFault::kNotRun,       EngineFault::kBusyMayHaveRun,  EngineFault::kWrongEngine,
       EngineFault::kFailed,       EngineFault::kResetUnanswered, EngineFault::kSilent,
       EngineFault::kTornEvent,    EngineFault::kUnsealed,        EngineFault::kEncoded,
       EngineFault::kForeignFirst, EngineFault::kExtraAfter,      EngineFault::kUnframed,
@@ -69,11 +69,11 @@
     this->connections.push_back(connection);
   });
   CHECK(status.ok()) << status.message();
-  this->listens = true;
+  this->is_listening = true;
 }
 
 void EngineStandin::Crash() {
-  this->listens = false;
+  this->is_listening = false;
   this->listener.Close();
   for (const auto& connection : this->connections) connection->channel->BreakOff();
   this->connections.clear();
@@ -86,14 +86,14 @@
   this->Listen();
 }
 
-EngineFault EngineStandin::TakeFault() {
-  if (this->faults.empty()) return this->every;
+EngineFault EngineStandin::NextFault() {
+  if (this->faults.empty()) return this->default_fault;
   EngineFault next = this->faults.front();
   this->faults.pop_front();
   return next;
 }
 
-AnswerHead EngineStandin::Plain(int status) const {
+AnswerHead EngineStandin::PlainHead(int status) const {
   AnswerHead head;
   head.status = status;
   head.reason = "Status";
@@ -105,7 +105,7 @@
 }
 
 AnswerHead EngineStandin::SealedHead(const CallerRequest& request, int status) const {
-  AnswerHead head = this->Plain(status);
+  AnswerHead head = this->PlainHead(status);
   std::optional<std::string_view> id = FindHeader(request.head.headers, platform::kAttemptId);
   if (id) head.headers.emplace_back(platform::kAttemptId, *id);
   head.headers.emplace_back(platform::kSeal, absl::StrCat("seal-of-", this->options.id));
@@ -117,29 +117,29 @@
   CallerChannel* channel = connection->channel.get();
   std::optional<std::string_view> expected =
       FindHeader(request.head.headers, platform::kExpectedEngine);
-  if (expected && *expected != this->options.id) return channel->Answer(this->Plain(421), "");
+  if (expected && *expected != this->options.id) return channel->Answer(this->PlainHead(421), "");
   if (request.head.target == "/v1/order") return this->OnOrder(channel, request);
 
   this->requests.push_back({request, Now(), false, false});
   connection->request = this->requests.size() - 1;
-  AnswerHead head = this->Plain(503);
+  AnswerHead head = this->PlainHead(503);
   if (this->notice.rest) {
     head.headers.emplace_back(platform::kNotRun, "1");
     head.headers.emplace_back(platform::kRetryAfter, absl::StrCat(ToSeconds(*this->notice.rest)));
     return channel->Answer(head, "");
   }
-  if (this->NamesRefusedHelper(request)) {
+  if (this->NamesRefusedReader(request)) {
     head.headers.emplace_back(platform::kNotRun, "1");
-    head.headers.emplace_back(platform::kRefusalCause, this->refused_helper->ToString());
+    head.headers.emplace_back(platform::kRefusalCause, this->refused_reader->ToString());
     return channel->Answer(head, "");
   }
-  EngineFault fault = this->TakeFault();
+  EngineFault fault = this->NextFault();
   switch (fault) {
     case EngineFault::kNotRun:
       head.headers.emplace_back(platform::kNotRun, "1");
       return channel->Answer(head, "");
     case EngineFault::kWrongEngine:
-      return channel->Answer(this->Plain(421), "");
+      return channel->Answer(this->PlainHead(421), "");
     case EngineFault::kSilent:
       this->requests.back().ran = true;
       return;
@@ -149,15 +149,15 @@
   this->requests.back().ran = true;
   this->loop->RunAfter(this->options.work_duration, [this, connection, request, fault] {
     if (connection->channel->is_closed()) return;
-    bool deadly = this->options.crashes_engine && this->options.crashes_engine(request);
-    deadly ? this->Crash() : this->Run(connection, request, fault);
+    bool crashes = this->options.crashes_engine && this->options.crashes_engine(request);
+    crashes ? this->Crash() : this->Run(connection, request, fault);
   });
 }
 
-bool EngineStandin::NamesRefusedHelper(const CallerRequest& request) const {
-  if (!this->refused_helper) return false;
-  std::string_view helpers = FindHeader(request.head.headers, platform::kReaders).value_or("");
-  return helpers.find(this->refused_helper->ToString()) != std::string_view::npos;
+bool EngineStandin::NamesRefusedReader(const CallerRequest& request) const {
+  if (!this->refused_reader) return false;
+  std::string_view readers = FindHeader(request.head.headers, platform::kReaders).value_or("");
+  return readers.find(this->refused_reader->ToString()) != std::string_view::npos;
 }
 
 void EngineStandin::OnOrder(CallerChannel* channel, const CallerRequest& request) {
@@ -166,28 +166,28 @@
   std::string ticket = order.value("id", "");
   if (order.value("op", "") == "release") {
     this->reserved.erase(ticket);
-    return channel->Answer(this->Plain(200), "{}");
+    return channel->Answer(this->PlainHead(200), "{}");
   }
   uint64_t others = 0;
   for (const auto& [id, tokens] : this->reserved) others += id == ticket ? 0 : tokens;
   uint64_t wanted = order.value("tokens", uint64_t{0});
   bool fits = others + wanted <= this->options.memory_tokens;
   if (fits) this->reserved[ticket] = wanted;
-  channel->Answer(this->Plain(fits ? 200 : 409), "{}");
+  channel->Answer(this->PlainHead(fits ? 200 : 409), "{}");
 }
 
 void EngineStandin::Run(const std::shared_ptr<Connection>& connection, const CallerRequest& request,
                         EngineFault fault) {
   CallerChannel* channel = connection->channel.get();
   switch (fault) {
-    case EngineFault::kBusyUnsure:
-      return channel->Answer(this->Plain(503), "");
+    case EngineFault::kBusyMayHaveRun:
+      return channel->Answer(this->PlainHead(503), "");
     case EngineFault::kFailed:
       return channel->Answer(this->SealedHead(request, 500), "it failed");
     case EngineFault::kResetUnanswered:
       return channel->BreakOff();
     case EngineFault::kUnsealed:
-      return channel->Answer(this->Plain(200), kBody);
+      return channel->Answer(this->PlainHead(200), kBody);
     default:
       break;
   }
@@ -217,7 +217,7 @@
     connection->request.reset();
     channel->EndAnswer();
     if (fault == EngineFault::kExtraAfter)
-      channel->WriteUnsolicitedAnswer(this->Plain(200), "once more");
+      channel->WriteUnsolicitedAnswer(this->PlainHead(200), "once more");
     return;
   }
   channel->WritePart(Event(next));
--- a/src/standins/engine_standin.h
+++ b/src/standins/engine_standin.h
@@ -1,11 +1,11 @@
-// A small stand-in for an endpoint of the platform: a model engine that streams
-// events, or a plain service, with the faults that the platform's pages name.
+// A stand-in for an endpoint of the platform: a model engine that streams events, or a plain
+// service, with the faults that the platform's documents describe.
 //
 //   EngineStandin engine(&loop, {.id = "i-1"});
 //   engine.FailNext(EngineFault::kTornEvent);
 //
-// A path that begins with /app/ is a plain call; every other one is a stream of
-// `events` events with rising ids, which goes on after Last-Event-Id.
+// A request whose path begins with /app/ gets a plain answer.  Any other request gets a stream of
+// `events` events with ids from 1, which starts after the id in the Last-Event-Id header.
 
 #ifndef GULLWARD_STANDINS_ENGINE_STANDIN_H_
 #define GULLWARD_STANDINS_ENGINE_STANDIN_H_
@@ -26,48 +26,48 @@
 
 enum class EngineFault {
   kNone,
-  // 503 with the word that it has not run.
+  // 503 with the header that states that the request has not run.
   kNotRun,
-  // 503 without that word.
-  kBusyUnsure,
-  // 421: another engine has the address.
+  // 503 without that header.
+  kBusyMayHaveRun,
+  // 421: the address belongs to another engine.
   kWrongEngine,
-  // 500, sealed: it ran and failed.
+  // 500 with a seal: the request ran and failed.
   kFailed,
   kResetUnanswered,
   kSilent,
-  // Ends the connection within the second event.
+  // Resets the connection within the second event, or within a plain body.
   kTornEvent,
-  // A success without a seal.
+  // A successful answer without a seal.
   kUnsealed,
-  // A success whose body is encoded.
+  // A successful answer with a Content-Encoding.
   kEncoded,
-  // An answer to some other request first, then the right one.
+  // An answer with the id of another request, then the right answer.
   kForeignFirst,
-  // A second answer after the right one.
+  // The right answer, then a second one.
   kExtraAfter,
-  // No length: the connection's end ends the answer.
+  // An answer without a length, which ends when the connection closes.
   kUnframed,
-  // The body ends before its length.
+  // The body ends before its stated length.
   kShortBody,
 };
 
-// Every fault but kNone, for tables.
+// All faults except kNone, for tests with tables.
 const std::vector<EngineFault>& AllEngineFaults();
 
 class EngineStandin {
  public:
   struct Options {
     std::string id;
-    // Events of a whole stream, and the time between two.
+    // Number of events in a complete stream, and the time between two events.
     int events = 4;
     Duration event_interval = milliseconds(2);
-    // From a request to the beginning of its answer.
+    // Time from a request to the beginning of its answer.
     Duration work_duration = milliseconds(2);
     uint64_t memory_tokens = 450'000;
-    // Whether the engine ends when it has worked on a request for `work`.
+    // Whether the engine crashes on a request, after `work_duration`.  Optional.
     std::function<bool(const CallerRequest&)> crashes_engine = {};
-    // The engine has ended.
+    // Called after a crash.  Optional.
     std::function<void()> on_crash = {};
   };
 
@@ -76,27 +76,26 @@
   SocketAddress address() const { return {"127.0.0.1", this->listener.port()}; }
   const std::string& id() const { return this->options.id; }
 
-  // Ends at once, as a process that crashes: every connection is reset, and nobody listens
-  // any more.
+  // Behaves like a process that crashes: resets every connection and closes the listening socket.
   void Crash();
-  bool is_up() const { return this->listens; }
-  // Starts again as another engine, which knows nothing of before, at another address.
+  bool is_up() const { return this->is_listening; }
+  // Starts a new engine without the earlier state, with this id and at another address.
   void Restart(const std::string& new_id);
 
-  // What happens to the next request, and so on, first in first out.
+  // Injects a fault into one of the next requests.  Faults are used in the order of the calls.
   void FailNext(EngineFault fault) { this->faults.push_back(fault); }
-  // What happens to all others.
-  void FailAll(EngineFault fault) { this->every = fault; }
+  // Injects a fault into all requests that have none from FailNext.
+  void FailAll(EngineFault fault) { this->default_fault = fault; }
 
-  // Turns away, from now on, every request that names this engine as a helper, and
-  // says that it is at fault.
-  void RefuseReader(const SocketAddress& helper) { this->refused_helper = helper; }
+  // From now on refuses every request that names this engine as a reader, and reports the reader
+  // as the cause of the refusal.
+  void RefuseReader(const SocketAddress& reader) { this->refused_reader = reader; }
 
-  // What it says of itself in every answer from now on; a rest is asked for by turning each
-  // request away.
-  void SetNotice(const EngineNotice& said) { this->notice = said; }
+  // Sets the notice that every answer carries from now on.  If the notice asks for a rest, every
+  // request is refused as not run.
+  void SetNotice(const EngineNotice& new_notice) { this->notice = new_notice; }
 
-  // A request as it reached the engine, when, and whether it was run.
+  // A request that the engine received, when, and whether the engine ran it.
   struct ReceivedRequest {
     CallerRequest request;
     Time at{};
@@ -105,18 +104,18 @@
   };
   const std::vector<ReceivedRequest>& received() const { return this->requests; }
 
-  // When orders for memory came.
+  // When the engine received orders to reserve or release memory.
   const std::vector<Time>& orders() const { return this->order_times; }
 
-  // Memory that is set aside, by ticket.
+  // Tokens of memory that are reserved, by ticket.
   const std::map<std::string, uint64_t>& tickets() const { return this->reserved; }
-  // As an engine that has started again.
+  // Drops all reservations, as a restart of the engine does.
   void DropTickets() { this->reserved.clear(); }
 
  private:
   struct Connection {
     std::shared_ptr<CallerChannel> channel;
-    // The request under way on it.
+    // Index in `requests` of the request in progress on this connection.
     std::optional<size_t> request;
   };
 
@@ -128,19 +127,19 @@
   void Stream(const std::shared_ptr<Connection>& connection, int next, EngineFault fault);
   void AnswerPlain(const std::shared_ptr<Connection>& connection, const CallerRequest& request,
                    EngineFault fault);
-  AnswerHead Plain(int status) const;
+  AnswerHead PlainHead(int status) const;
   AnswerHead SealedHead(const CallerRequest& request, int status) const;
-  EngineFault TakeFault();
-  bool NamesRefusedHelper(const CallerRequest& request) const;
+  EngineFault NextFault();
+  bool NamesRefusedReader(const CallerRequest& request) const;
 
   EventLoop* loop;
   Options options;
   TcpListener listener;
-  bool listens = false;
+  bool is_listening = false;
   std::vector<std::shared_ptr<Connection>> connections;
   std::deque<EngineFault> faults;
-  EngineFault every = EngineFault::kNone;
-  std::optional<SocketAddress> refused_helper;
+  EngineFault default_fault = EngineFault::kNone;
+  std::optional<SocketAddress> refused_reader;
   EngineNotice notice;
   std::vector<ReceivedRequest> requests;
   std::vector<Time> order_times;
--- a/src/standins/fault.h
+++ b/src/standins/fault.h
@@ -1,10 +1,10 @@
-// The fault knobs that every stand-in takes at POST /fault, as a JSON object:
+// The faults that a stand-in program accepts at POST /fault, as a JSON object:
 //
-//   {"die": true}            the process exits at once, without a word
-//   {"freeze_ms": 3000}      nothing is answered for so long
-//   {"slow": 10}             everything takes ten times as long (engines)
-//   {"cut_after_tokens": 5}  the next answer breaks off after so many (engines)
-//   {"lose_answers": 2}      so many calls take effect without an answer
+//   {"die": true}            the process exits at once
+//   {"freeze_ms": 3000}      the process does nothing for this long
+//   {"slow": 10}             every step takes ten times as long (engines)
+//   {"cut_after_tokens": 5}  the next answer is aborted after this many tokens (engines)
+//   {"lose_answers": 2}      this many calls take effect but are not answered
 //   {"outage": true}         every call is answered with 503 (platform)
 
 #ifndef GULLWARD_STANDINS_FAULT_H_
@@ -25,7 +25,8 @@
   int64_t lose_answers = 0;
   bool outage = false;
 
-  // Changes the knobs that the body names; the others stay.
+  // Applies a request body.  Faults that the body does not name keep their value, except that
+  // freeze_ms becomes 0.
   void Update(const std::string& body) {
     nlohmann::json value = nlohmann::json::parse(body, nullptr, false);
     if (!value.is_object()) return;
--- a/src/standins/platform_main.cc
+++ b/src/standins/platform_main.cc
@@ -1,15 +1,15 @@
-// standin-platform: the platform's log, box list and weight store, kept small.
+// standin-platform: a minimal stand-in for the platform's log and box list.
 //
 // docs/PLATFORM.md describes the interface that gullward expects:
 //
-//   POST /streams/NAME                  append; answers {"offset": N}
-//   GET  /streams/NAME?from=N&wait_ms=  read; answers {"earliest", "records"}
-//   GET  /boxes                         the list, as it was --lag_ms ago
-//   PUT  /boxes                         replaces the list (the operator's side)
-//   POST /trim/NAME?before=N            drops records, as retention does
+//   POST /streams/NAME                  appends a record; answers {"offset": N}
+//   GET  /streams/NAME?from=N&wait_ms=  reads records; answers {"earliest", "records"}
+//   GET  /boxes                         the box list as it was --lag_ms ago
+//   PUT  /boxes                         replaces the box list (used by the operator)
+//   POST /trim/NAME?before=N            drops records with lower offsets, as retention does
 //   POST /fault                         see standins/fault.h
 //
-// Appends beyond --appends_per_second in a second are answered with 429.
+// Appends beyond --appends_per_second are answered with 429.
 
 #include <gflags/gflags.h>
 #include <glog/logging.h>
@@ -26,8 +26,8 @@
 #include "standins/fault.h"
 
 DEFINE_string(listen, "127.0.0.1:0", "address to listen on");
-DEFINE_int64(lag_ms, 500, "how late the box list is");
-DEFINE_double(appends_per_second, 100, "appends that are taken in a second");
+DEFINE_int64(lag_ms, 500, "time until a new box list is visible, in milliseconds");
+DEFINE_double(appends_per_second, 100, "maximum rate of appends");
 
 namespace gullward {
 namespace {
@@ -62,7 +62,7 @@
   void Stop() { this->http.Stop(); }
   uint16_t port() const { return this->http.port(); }
 
-  // Answers reads that have waited long enough, and forgets callers that left.
+  // Answers reads whose wait time is over, and drops connections that callers have closed.
   void Tick() {
     this->http.SweepClosed();
     for (auto& item : this->streams) {
@@ -117,7 +117,7 @@
 
   void HandleBoxes(const ExchangePtr& exchange) {
     if (exchange->method == "GET") {
-      exchange->Respond(JsonAnswer(200, this->shown_boxes));
+      exchange->Respond(JsonAnswer(200, this->visible_boxes));
       return;
     }
     json list = json::parse(exchange->body, nullptr, false);
@@ -125,11 +125,11 @@
       exchange->Respond(JsonAnswer(400, {{"error", "expected an array"}}));
       return;
     }
-    this->loop->RunAfter(milliseconds(FLAGS_lag_ms), [this, list] { this->shown_boxes = list; });
+    this->loop->RunAfter(milliseconds(FLAGS_lag_ms), [this, list] { this->visible_boxes = list; });
     exchange->Respond(JsonAnswer(200, json::object()));
   }
 
-  bool TakeAppend() {
+  bool TakeAppendToken() {
     Time now = Now();
     this->append_budget += ToSeconds(now - this->budget_at) * FLAGS_appends_per_second;
     this->append_budget = std::min(this->append_budget, FLAGS_appends_per_second);
@@ -140,7 +140,7 @@
   }
 
   void Append(Stream* stream, const ExchangePtr& exchange) {
-    if (!this->TakeAppend()) {
+    if (!this->TakeAppendToken()) {
       exchange->Respond(JsonAnswer(429, {{"error", "too many appends"}}));
       return;
     }
@@ -193,7 +193,7 @@
   HttpServer http;
   Faults faults;
   std::map<std::string, Stream> streams;
-  json shown_boxes = json::array();
+  json visible_boxes = json::array();
   double append_budget = 0;
   Time budget_at;
 };
--- a/src/standins/service_main.cc
+++ b/src/standins/service_main.cc
@@ -1,7 +1,7 @@
-// standin-service: a plain service that keeps a journal of the entries made.
+// standin-service: a plain service that keeps a journal of entries.
 //
-//   POST /entries   makes an entry from the body; answers its number
-//   GET  /entries   the bodies of all entries, in order
+//   POST /entries   adds the request body as an entry; answers with the number of entries
+//   GET  /entries   answers with the bodies of all entries, in order
 //   POST /fault     see standins/fault.h
 
 #include <gflags/gflags.h>
--- a/src/standins/store_process_main.cc
+++ b/src/standins/store_process_main.cc
@@ -1,18 +1,18 @@
-// standin-store: a StoreStandin as a process of its own, for the soak.
+// standin-store: runs a StoreStandin as a separate process, for the soak.
 //
-// SIGHUP has it keep a copy of all that it holds; the next SIGHUP has it return from that copy,
-// under the next epoch, and so on in turn.
+// On SIGHUP the store saves a copy of all topics.  On the next SIGHUP it restores this copy, with
+// the next epoch.  Further signals alternate between the two.
 
 #include <gflags/gflags.h>
 
 #include "process/process.h"
 #include "standins/store_standin.h"
 
-DEFINE_uint64(epoch, 0, "the epoch that it tells at first; 0: it tells none");
+DEFINE_uint64(epoch, 0, "epoch sent in answers at first; 0 sends none until the first restore");
 
 int main(int argc, char** argv) {
   using namespace gullward;
-  InitProcess("standin-store: the platform's store's stand-in", &argc, &argv);
+  InitProcess("standin-store: stand-in for the platform's store", &argc, &argv);
   EventLoop loop;
   uint64_t epoch = FLAGS_epoch;
   bool has_copy = false;
--- a/src/standins/store_standin.cc
+++ b/src/standins/store_standin.cc
@@ -1,5 +1,5 @@
-// Topics in memory; a read that finds nothing new waits until a record comes or
-// its time is up.
+// Topics in memory.  A read that finds no new records waits until a record is appended or its
+// wait time is over.
 
 #include "standins/store_standin.h"
 
@@ -17,13 +17,14 @@
 namespace {
 
 constexpr Duration kTick = milliseconds(2);
-// How kSlowBody cuts an answer.
+// With kSlowBody an answer is sent in this many pieces, at this interval.
 constexpr size_t kPieces = 12;
-constexpr Duration kPieceEvery = milliseconds(100);
-// A read is answered with this much at most, or one record, unless it says otherwise.
-constexpr size_t kUsualReadKb = 1024;
+constexpr Duration kPieceInterval = milliseconds(100);
+// Size limit of the answer to a read that does not state one.  A larger single record is still
+// sent.
+constexpr size_t kDefaultReadKb = 1024;
 
-// The parameters of a query.  The names used here need no decoding.
+// The parameters of a query, without percent-decoding: topic names and numbers need none.
 std::map<std::string, std::string> Query(const std::string& target) {
   std::map<std::string, std::string> query;
   size_t mark = target.find('?');
@@ -51,7 +52,7 @@
 }
 
 void StoreStandin::RestoreCopy(const std::string& next) {
-  this->topics = this->copy;
+  this->topics = this->saved_topics;
   this->epoch = next;
 }
 
@@ -62,8 +63,9 @@
   }
 }
 
-// The answer is made now and sent later.
-void StoreStandin::Hold(const std::shared_ptr<CallerChannel>& channel, const std::string& body) {
+// Builds the answer now, to be sent by ReleaseAnswer.
+void StoreStandin::HoldAnswer(const std::shared_ptr<CallerChannel>& channel,
+                              const std::string& body) {
   this->held_topic.clear();
   this->held_answer = [channel, head = this->Head(200), body] {
     if (!channel->is_closed()) channel->Answer(head, body);
@@ -112,9 +114,9 @@
   } else {
     topic.newest[key] = value;
   }
-  if (this->unheard == topic_name) {
-    this->unheard.clear();
-    this->SleepThrough(topic_name);
+  if (this->skipped_topic == topic_name) {
+    this->skipped_topic.clear();
+    this->SkipWaitingReads(topic_name);
   }
   this->WakeWaiting(Now());
 }
@@ -126,10 +128,10 @@
   return false;
 }
 
-void StoreStandin::SleepThrough(const std::string& topic_name) {
+void StoreStandin::SkipWaitingReads(const std::string& topic_name) {
   const Topic& topic = this->topics[topic_name];
   for (Waiting& entry : this->waiting) {
-    if (entry.topic == topic_name) entry.wakes_at = topic.first + topic.records.size();
+    if (entry.topic == topic_name) entry.skip_until = topic.first + topic.records.size();
   }
 }
 
@@ -148,12 +150,12 @@
 void StoreStandin::OnRequest(const std::shared_ptr<CallerChannel>& channel,
                              const CallerRequest& request) {
   this->call_count += 1;
-  if (this->trouble == StoreFault::kSilent) return;
-  if (this->trouble == StoreFault::kReset) return channel->BreakOff();
-  if (this->trouble == StoreFault::kBusy) return channel->Answer(Head(503), "");
+  if (this->fault == StoreFault::kSilent) return;
+  if (this->fault == StoreFault::kReset) return channel->BreakOff();
+  if (this->fault == StoreFault::kBusy) return channel->Answer(Head(503), "");
   std::map<std::string, std::string> query = Query(request.head.target);
-  this->holds_this = !this->held_topic.empty() && query["topic"] == this->held_topic;
-  if (!this->turned_away.empty() && query["topic"] == this->turned_away) {
+  this->must_hold_answer = !this->held_topic.empty() && query["topic"] == this->held_topic;
+  if (!this->rejected_topic.empty() && query["topic"] == this->rejected_topic) {
     return channel->Answer(Head(503), "");
   }
   Topic& topic = this->topics[query["topic"]];
@@ -163,7 +165,7 @@
   } else if (path == "/v1/log-read") {
     Waiting read{channel, query["topic"]};
     read.from = ToNumber(query["from"]);
-    read.most_bytes = 1024 * ParseCount(query["max_kb"]).value_or(kUsualReadKb);
+    read.max_bytes = 1024 * ParseCount(query["max_kb"]).value_or(kDefaultReadKb);
     read.until = Now() + milliseconds(ToNumber(query["waitMs"]));
     if (!this->AnswerTail(channel.get(), topic, read, /*even_if_none=*/false)) {
       this->waiting.push_back(std::move(read));
@@ -193,10 +195,10 @@
 
 void StoreStandin::Answer(CallerChannel* channel, const std::string& body) {
   this->answered_bytes += body.size();
-  if (std::exchange(this->holds_this, false)) {
-    return this->Hold(channel->shared_from_this(), body);
+  if (std::exchange(this->must_hold_answer, false)) {
+    return this->HoldAnswer(channel->shared_from_this(), body);
   }
-  if (this->trouble != StoreFault::kSlowBody) return channel->Answer(Head(200), body);
+  if (this->fault != StoreFault::kSlowBody) return channel->Answer(Head(200), body);
   channel->BeginAnswer(Head(200), body.size());
   this->AnswerInPieces(channel->shared_from_this(), body);
 }
@@ -205,8 +207,8 @@
                                   const std::string& body) {
   size_t piece = std::max<size_t>(body.size() / kPieces, 1);
   for (size_t at = 0, number = 1; at < body.size(); at += piece, ++number) {
-    this->loop->RunAfter(number * kPieceEvery, [channel, bytes = body.substr(at, piece),
-                                                is_last = at + piece >= body.size()] {
+    this->loop->RunAfter(number * kPieceInterval, [channel, bytes = body.substr(at, piece),
+                                                   is_last = at + piece >= body.size()] {
       if (channel->is_closed()) return;
       channel->WritePart(bytes);
       if (is_last) channel->EndAnswer();
@@ -215,7 +217,7 @@
 }
 
 bool StoreStandin::AnswerTail(CallerChannel* channel, const Topic& topic, const Waiting& read,
-                              bool even_if_none) {
+                              bool even_if_empty) {
   uint64_t from = read.from;
   uint64_t end = topic.first + topic.records.size();
   bool is_ahead = !this->epoch.empty() && from > end;
@@ -223,12 +225,12 @@
     channel->Answer(Head(410), "{\"first\":" + std::to_string(topic.first) + "}");
     return true;
   }
-  if (from >= end && !even_if_none) return false;
+  if (from >= end && !even_if_empty) return false;
   std::string body;
   platform::AppendNumber(&body, end, 8);
   platform::AppendNumber(&body, topic.first, 8);
   for (uint64_t offset = from; offset < end; ++offset) {
-    size_t without = body.size();
+    size_t size_before_record = body.size();
     const platform::KeyedRecord& record = topic.records[offset - topic.first];
     if (topic.raw.count(offset) != 0) {
       platform::AppendNumber(&body, record.value.size(), 4);
@@ -236,9 +238,9 @@
     } else {
       platform::AppendRecord(&body, record);
     }
-    bool too_much = offset > from && body.size() > read.most_bytes;
-    if (!too_much) continue;
-    body.resize(without);
+    bool is_too_large = offset > from && body.size() > read.max_bytes;
+    if (!is_too_large) continue;
+    body.resize(size_before_record);
     break;
   }
   this->Answer(channel, body);
@@ -246,20 +248,20 @@
 }
 
 void StoreStandin::WakeWaiting(Time now) {
-  if (this->trouble == StoreFault::kSilent) return;
-  std::vector<Waiting> still;
+  if (this->fault == StoreFault::kSilent) return;
+  std::vector<Waiting> remaining;
   for (Waiting& entry : std::exchange(this->waiting, {})) {
     std::shared_ptr<CallerChannel> channel = entry.channel.lock();
     bool is_gone = !channel || channel->is_closed();
-    if (is_gone && now < entry.until) this->given_up += 1;
+    if (is_gone && now < entry.until) this->abandoned_reads += 1;
     if (is_gone) continue;
     const Topic& topic = this->topics[entry.topic];
-    bool over = now >= entry.until;
-    bool sleeps = topic.first + topic.records.size() <= entry.wakes_at;
-    bool done = !sleeps && this->AnswerTail(channel.get(), topic, entry, over);
-    if (!done) still.push_back(std::move(entry));
+    bool is_over = now >= entry.until;
+    bool is_skipped = topic.first + topic.records.size() <= entry.skip_until;
+    bool done = !is_skipped && this->AnswerTail(channel.get(), topic, entry, is_over);
+    if (!done) remaining.push_back(std::move(entry));
   }
-  this->waiting.insert(this->waiting.end(), still.begin(), still.end());
+  this->waiting.insert(this->waiting.end(), remaining.begin(), remaining.end());
 }
 
 }  // namespace gullward
--- a/src/standins/store_standin.h
+++ b/src/standins/store_standin.h
@@ -1,12 +1,12 @@
-// A small stand-in for the platform's store, on an event loop of the test's.
+// A stand-in for the platform's store that runs on the event loop of a test.
 //
 //   StoreStandin store(&loop);
 //   store.Put("keyed.op", "config", json);
-//   store.SetTrouble(StoreTrouble::kSilent);
+//   store.SetFault(StoreFault::kSilent);
 //
-// It keeps keyed topics only, with one partition each, and speaks log-newest,
-// log-read and log-append as the platform's pages tell them; an answer to log-read is
-// bounded in size, so it may end before the log does.
+// It keeps topics in memory.  All topics are keyed and have one partition.  It implements the
+// calls log-newest, log-read and log-append as the platform's documents describe them.  The size
+// of an answer to log-read is limited, so the answer may end before the log does.
 
 #ifndef GULLWARD_STANDINS_STORE_STANDIN_H_
 #define GULLWARD_STANDINS_STORE_STANDIN_H_
@@ -26,13 +26,13 @@
 
 enum class StoreFault {
   kNone,
-  // Takes calls and says nothing.
+  // Accepts calls and does not answer.
   kSilent,
-  // Turns every call away with 503.
+  // Answers every call with 503.
   kBusy,
-  // Resets every connection that asks something.
+  // Resets every connection on which a call arrives.
   kReset,
-  // Answers reads in pieces, a tenth of a second apart, over a second in all.
+  // Answers reads in pieces, 100 ms apart, for more than a second in total.
   kSlowBody,
 };
 
@@ -45,88 +45,89 @@
   void Put(const std::string& topic, const std::string& key, const std::string& value);
   void Remove(const std::string& topic, const std::string& key) { this->Put(topic, key, ""); }
 
-  // Appends a record whose bytes need not be a key and a value.
+  // Appends a record of arbitrary bytes, which need not contain a key and a value.
   void PutRaw(const std::string& topic, const std::string& bytes);
 
-  // Drops the records of a topic; the newest of each key stay.
+  // Drops the records of a topic from the log.  The newest value of each key can still be read
+  // with log-newest.
   void Compact(const std::string& topic);
 
-  void SetFault(StoreFault wanted) { this->trouble = wanted; }
+  void SetFault(StoreFault new_fault) { this->fault = new_fault; }
 
-  // Turns away, with 503, the calls on one topic only; an empty name ends that.
-  void RejectTopic(const std::string& topic) { this->turned_away = topic; }
+  // Answers calls on this topic with 503; an empty name ends the fault.
+  void RejectTopic(const std::string& topic) { this->rejected_topic = topic; }
 
-  // Leaves the reads that wait at a topic unanswered until its next change but one,
-  // however long they wanted to wait.
-  void SkipNextChange(const std::string& topic) { this->unheard = topic; }
+  // Does not answer the waiting reads of a topic at its next change, nor at the end of their wait
+  // time.  They are answered at the change after that.
+  void SkipNextChange(const std::string& topic) { this->skipped_topic = topic; }
 
-  // What the header of all answers says of the epoch from now on, in any form; by default
-  // there is no such header.  A number, or two of them on two lines.
+  // Sets the epoch that all answers carry in a header from now on.  The text is sent as it is, so
+  // it may be malformed; each line becomes one header.  By default there is no such header.
   void SetEpoch(const std::string& text) { this->epoch = text; }
 
-  // Keeps a copy of all topics as they are now.
-  void SaveCopy() { this->copy = this->topics; }
-  // Comes back from that copy, under the epoch `next`: offsets go back and are given out
-  // again.  Reads that wait stay open, as those of a store whose process lives.
+  // Saves a copy of all topics.
+  void SaveCopy() { this->saved_topics = this->topics; }
+  // Restores the saved copy with the epoch `next`.  Offsets go back, so later records get offsets
+  // that were already used.  Waiting reads stay open, as if the store's process had not ended.
   void RestoreCopy(const std::string& next);
 
-  // Breaks off all connections, those of waiting reads too.
+  // Resets all connections, including these of waiting reads.
   void DropConnections();
 
-  // Holds back the answer to the next call on a topic until LetGo.
+  // Holds back the answer to the next call on a topic until ReleaseAnswer is called.
   void HoldNextAnswer(const std::string& topic) { this->held_topic = topic; }
   bool IsHolding() const { return this->held_answer != nullptr; }
   void ReleaseAnswer();
 
-  // The newest value of a key; empty where there is none.
+  // The newest value of a key; empty if there is none.
   std::string Newest(const std::string& topic, const std::string& key);
 
-  // Records that were ever added to a topic.
+  // The number of records that were ever appended to a topic.
   uint64_t appended(const std::string& topic) const;
 
-  // Items on one page of log-newest.
+  // Sets the maximum number of items on one page of log-newest.
   void SetPageSize(size_t items) { this->page_size = items; }
 
-  // Whether a read waits at the topic for its next change.
+  // Whether a read is waiting for the next change of the topic.
   bool IsAwaited(const std::string& topic) const;
 
-  // Waiting reads whose sender closed the connection before their wait was over.
-  uint64_t reads_given_up() const { return this->given_up; }
+  // The number of waiting reads whose sender closed the connection before the wait time was over.
+  uint64_t reads_given_up() const { return this->abandoned_reads; }
 
   uint64_t calls() const { return this->call_count; }
 
-  // Bytes of all answers to reads, of the log and of the newest records.
+  // Total size of the answers to log-read and log-newest.
   uint64_t bytes_answered() const { return this->answered_bytes; }
 
  private:
   struct Topic {
-    // Kept records; the first has the offset `first`.
+    // Records of the log; the first one has the offset `first`.
     std::vector<platform::KeyedRecord> records;
     uint64_t first = 0;
     std::map<std::string, std::string> newest;
-    // Offsets of the records whose value is the whole record.
+    // Offsets of the records that PutRaw appended: the value is the whole record.
     std::set<uint64_t> raw;
   };
   struct Waiting {
     std::weak_ptr<CallerChannel> channel;
     std::string topic;
     uint64_t from = 0;
-    // Records beyond the first are left out where they would exceed this.
-    size_t most_bytes = 0;
+    // Limit of the answer's size.  The first record is sent even if it exceeds the limit.
+    size_t max_bytes = 0;
     Time until{};
-    // Answered only once the topic's end is beyond this.
-    uint64_t wakes_at = 0;
+    // The read is answered only when the end of the topic is greater than this.
+    uint64_t skip_until = 0;
   };
 
   AnswerHead Head(int status) const;
   void OnRequest(const std::shared_ptr<CallerChannel>& channel, const CallerRequest& request);
   void AnswerNewest(CallerChannel* channel, const Topic& topic, const std::string& after);
   bool AnswerTail(CallerChannel* channel, const Topic& topic, const Waiting& read,
-                  bool even_if_none);
+                  bool even_if_empty);
   void Answer(CallerChannel* channel, const std::string& body);
-  void Hold(const std::shared_ptr<CallerChannel>& channel, const std::string& body);
+  void HoldAnswer(const std::shared_ptr<CallerChannel>& channel, const std::string& body);
   void AnswerInPieces(const std::shared_ptr<CallerChannel>& channel, const std::string& body);
-  void SleepThrough(const std::string& topic_name);
+  void SkipWaitingReads(const std::string& topic_name);
   void WakeWaiting(Time now);
 
   EventLoop* loop;
@@ -134,18 +135,18 @@
   std::vector<std::shared_ptr<CallerChannel>> channels;
   std::map<std::string, Topic> topics;
   std::vector<Waiting> waiting;
-  StoreFault trouble = StoreFault::kNone;
-  std::string turned_away;
-  std::string unheard;
+  StoreFault fault = StoreFault::kNone;
+  std::string rejected_topic;
+  std::string skipped_topic;
   std::string epoch;
-  std::map<std::string, Topic> copy;
+  std::map<std::string, Topic> saved_topics;
   std::string held_topic;
-  // Whether the answer to the call under way is the one to hold back.
-  bool holds_this = false;
-  // The answer that is held back, with the head that it had when it was made.
+  // Whether the answer to the current call must be held back.
+  bool must_hold_answer = false;
+  // Sends the answer that is held back, with the head from the time of the call.
   std::function<void()> held_answer;
   size_t page_size = 500;
-  uint64_t given_up = 0;
+  uint64_t abandoned_reads = 0;
   uint64_t call_count = 0;
   uint64_t answered_bytes = 0;
 };
--- a/src/trial/simulation.cc
+++ b/src/trial/simulation.cc
@@ -472,9 +472,9 @@
              }
              job.hash = ContinueHash(hash, start.offer.prompt);
              if (start.offer.context.empty()) job.prefixes = PrefixHashes(start.offer.prompt);
-             EngineModel::Submitted submitted = engine->model->Submit(job, this->clock);
-             if (submitted != EngineModel::Submitted::kOk) {
-               bool memory = submitted == EngineModel::Submitted::kNoMemory;
+             EngineModel::SubmitResult submitted = engine->model->Submit(job, this->clock);
+             if (submitted != EngineModel::SubmitResult::kOk) {
+               bool memory = submitted == EngineModel::SubmitResult::kNoMemory;
                broken(memory ? ResultCode::kNoMemory : ResultCode::kStaleOffer, Ran::kNo);
                return;
              }
@@ -590,7 +590,7 @@
   this->BreakStreams(node, index, Ran::kUnknown);
   ++engine->incarnation;
   engine->model = std::make_unique<EngineModel>(this->options.engine);
-  engine->model->SetSlowness(engine->slowdown);
+  engine->model->SetSlowdown(engine->slowdown);
   engine->next_advance = Time();
 }
 
@@ -602,7 +602,7 @@
 void Simulation::SlowEngine(size_t endpoint, uint32_t index, double factor) {
   EngineNode* engine = this->endpoint_nodes[endpoint]->engines[index].get();
   engine->slowdown = factor;
-  engine->model->SetSlowness(factor);
+  engine->model->SetSlowdown(factor);
 }
 
 void Simulation::AbortStreams(size_t endpoint, uint32_t index) {
