--- a/src/soak/soak.h
+++ b/src/soak/soak.h
@@ -18,7 +18,7 @@
 //   revoked  no request runs with a key that was revoked longer ago than the key trust time
 //
 //   Soak soak({.seed = 7, .duration = seconds(10), .folder = "/tmp/soak"});
-//   std::vector<std::string> broken = soak.Run();
+//   std::vector<std::string> violations = soak.Run();
 
 #ifndef GULLWARD_SOAK_SOAK_H_
 #define GULLWARD_SOAK_SOAK_H_
@@ -42,6 +42,7 @@
   uint64_t seed = 1;
   Duration duration = seconds(10);
   std::string folder;
+  // Number of model engines, and of engines of the plain service "app".
   int engines = 4;
   int apps = 2;
   int gateways = 2;
--- a/src/standins/engine_standin.h
+++ b/src/standins/engine_standin.h
@@ -34,7 +34,9 @@
   kWrongEngine,
   // 500 with a seal: the request ran and failed.
   kFailed,
+  // Runs the request, then resets the connection without an answer.
   kResetUnanswered,
+  // Runs the request and never answers.
   kSilent,
   // Resets the connection within the second event, or within a plain body.
   kTornEvent,
--- a/src/standins/store_standin.cc
+++ b/src/standins/store_standin.cc
@@ -167,7 +167,7 @@
     read.from = ToNumber(query["from"]);
     read.max_bytes = 1024 * ParseCount(query["max_kb"]).value_or(kDefaultReadKb);
     read.until = Now() + milliseconds(ToNumber(query["waitMs"]));
-    if (!this->AnswerTail(channel.get(), topic, read, /*even_if_none=*/false)) {
+    if (!this->AnswerTail(channel.get(), topic, read, /*even_if_empty=*/false)) {
       this->waiting.push_back(std::move(read));
     }
   } else if (path == "/v1/log-append") {
--- a/src/standins/store_standin.h
+++ b/src/standins/store_standin.h
@@ -71,7 +71,7 @@
   // that were already used.  Waiting reads stay open, as if the store's process had not ended.
   void RestoreCopy(const std::string& next);
 
-  // Resets all connections, including these of waiting reads.
+  // Resets all connections, also the connections of waiting reads.
   void DropConnections();
 
   // Holds back the answer to the next call on a topic until ReleaseAnswer is called.
--- a/src/trial/fleet_tables.h
+++ b/src/trial/fleet_tables.h
@@ -20,7 +20,9 @@
 std::optional<std::vector<size_t>> ReadSizes(const std::string& flag, const std::string& text);
 
 struct TableOptions {
+  // Fleet sizes, as numbers of gateways.
   std::vector<size_t> gateways;
+  // Engines for each gateway.
   double engines_each = 10;
   uint64_t seed = 1;
 };
--- a/src/trial/testing/crash_trial_test.cc
+++ b/src/trial/testing/crash_trial_test.cc
@@ -24,7 +24,8 @@
   Duration duration;
 };
 
-// The users' small sites, these after growth, the largest site, and a fleet three times as large.
+// The users' small sites, the same sites after growth, the large site, and a fleet three times as
+// large.
 const Size kSizes[] = {{5, 18, 4, seconds(40)},
                        {28, 100, 1, seconds(20)},
                        {103, 150, 1, seconds(12)},
--- a/src/trial/testing/fault_matrix_test.cc
+++ b/src/trial/testing/fault_matrix_test.cc
@@ -212,7 +212,7 @@
   return faults;
 }
 
-// ------------------------------------------------------------------------ cells
+// ------------------------------------------------------------------------ cases
 
 // The outcome of the request: F finished; N failed, not run; U failed, unknown whether it ran;
 // Y failed, ran; G the caller had disconnected or its entry was killed.
@@ -269,7 +269,7 @@
   }
   // Faults end within ten seconds; the longest timeout of a request is a minute.
   simulation.RunFor(seconds(90));
-  std::vector<std::string> broken = simulation.CheckInvariants(/*quiet=*/true);
+  std::vector<std::string> broken = simulation.CheckInvariants(/*expect_idle=*/true);
   if (!was_injected && step != Step::kMidStream)
     broken.push_back("the request never reached the step");
   const Call& result = simulation.call(call);
@@ -284,7 +284,8 @@
   if (must_not_cut_off && !refused && !result.finished) {
     broken.push_back(std::string("a request was cut off: ") + Info(result.failure.code).name);
   }
-  // Other faults leave three working engines, so a repeatable request must succeed.
+  // Other faults leave three working engines, so a repeatable request must succeed unless it is
+  // refused as not run.
   bool leaves_good_engines = fault.name != "entry_dies" && fault.name != "caller_leaves" &&
                              fault.name != "all_engines_die";
   if (kind.name == "short" && leaves_good_engines && !result.finished && !refused) {
--- a/src/trial/testing/history_test.cc
+++ b/src/trial/testing/history_test.cc
@@ -51,7 +51,7 @@
       this->ScheduleAtRandom([this, i] { this->SubmitRandom(i); });
     for (int i = 0; i < kFaults; ++i) this->ScheduleAtRandom([this] { this->InjectRandomFault(); });
     this->simulation.RunFor(kActiveTime + kRecoveryTime);
-    return this->simulation.CheckInvariants(/*quiet=*/true);
+    return this->simulation.CheckInvariants(/*expect_idle=*/true);
   }
 
  private:
