--- a/src/gateway/testing/catch_up_test.cc
+++ b/src/gateway/testing/catch_up_test.cc
@@ -52,18 +52,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(WhoSaysThatItIsCurrentHasTheNewestVersion) {
-  for (StoreTrouble trouble : {StoreTrouble::kSilent, StoreTrouble::kBusy, StoreTrouble::kReset}) {
+  for (StoreFault trouble : {StoreFault::kSilent, StoreFault::kBusy, StoreFault::kReset}) {
     GatewayFixtureOptions options;
     options.key_trust = milliseconds(600);
     GatewayFixture fixture(options);
     fixture.Publish(LargeConfig(fixture, 1));
     fixture.StartGateway();
-    fixture.store.SetTrouble(trouble);
+    fixture.store.SetFault(trouble);
     BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return !fixture.gateway->IsReady(); }));
     for (int version = 2; version <= kMissedVersions; ++version) {
       fixture.Publish(LargeConfig(fixture, version));
     }
-    fixture.store.SetTrouble(StoreTrouble::kNone);
+    fixture.store.SetFault(StoreFault::kNone);
     BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.gateway->IsReady(); }));
     BOOST_TEST(fixture.Call(RequestFor(fixture, kMissedVersions)).head.status == 200);
   }
@@ -121,9 +121,9 @@
   follower.Publish(1);
   follower.follower.Start();
   BOOST_TEST_REQUIRE(follower.RunUntilCurrent());
-  follower.store.SetTrouble(StoreTrouble::kReset);
+  follower.store.SetFault(StoreFault::kReset);
   for (int version = 2; version <= kMissedVersions; ++version) follower.Publish(version);
-  follower.store.SetTrouble(StoreTrouble::kNone);
+  follower.store.SetFault(StoreFault::kNone);
   uint64_t before = follower.store.bytes_answered();
   BOOST_TEST(follower.RunUntilCurrent());
   BOOST_TEST(follower.store.bytes_answered() - before <= kMaxVersionsRead * kVersionBytes);
@@ -153,10 +153,10 @@
   follower.Publish(1);
   follower.follower.Start();
   BOOST_TEST_REQUIRE(follower.RunUntilCurrent());
-  follower.store.SetTrouble(StoreTrouble::kReset);
+  follower.store.SetFault(StoreFault::kReset);
   follower.store.Put(kConfigTopic, "key-7", "changed");
   follower.Publish(2);
-  follower.store.SetTrouble(StoreTrouble::kNone);
+  follower.store.SetFault(StoreFault::kNone);
   follower.applied = 0;
   BOOST_TEST(follower.RunUntilCurrent());
   BOOST_TEST(follower.applied == 2);
--- a/src/gateway/testing/store_return_test.cc
+++ b/src/gateway/testing/store_return_test.cc
@@ -95,16 +95,16 @@
     fixture.follower.Start();
     BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.records.count("lost") != 0; }));
     BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.store.IsAwaited(kTopic); }));
-    fixture.store.SetTrouble(StoreTrouble::kReset);
+    fixture.store.SetFault(StoreFault::kReset);
     fixture.store.DropConnections();
-    fixture.store.ReturnFromCopy(row.epoch);
+    fixture.store.RestoreCopy(row.epoch);
     Records expected = {{"kept", "before"}};
     for (int i = 0; i < row.written_again; ++i) {
       std::string key = absl::StrCat("again-", i);
       fixture.Put(key, "after");
       expected[key] = "after";
     }
-    fixture.store.SetTrouble(StoreTrouble::kNone);
+    fixture.store.SetFault(StoreFault::kNone);
     BOOST_TEST(fixture.RunUntil([&] { return fixture.records == expected; }),
                "written again: " << row.written_again);
   }
@@ -120,9 +120,9 @@
   fixture.store.HoldNextAnswer(kTopic);
   fixture.follower.Start();
   BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.store.IsHolding(); }));
-  fixture.store.ReturnFromCopy("2");
+  fixture.store.RestoreCopy("2");
   fixture.Put("c", "2");
-  fixture.store.LetGo();
+  fixture.store.ReleaseAnswer();
   Records expected = {{"b", "1"}, {"c", "2"}};
   BOOST_TEST(fixture.RunUntil([&] { return fixture.records == expected; }));
 }
@@ -164,13 +164,13 @@
   fixture.Publish(Version(fixture, 2));
   fixture.StartGateway();
   BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2)); }));
-  fixture.store.SetTrouble(StoreTrouble::kReset);
+  fixture.store.SetFault(StoreFault::kReset);
   BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return !fixture.gateway->IsReady(); }));
   fixture.store.DropConnections();
-  fixture.store.ReturnFromCopy("2");
+  fixture.store.RestoreCopy("2");
   fixture.Publish(Version(fixture, 2));
   fixture.Publish(Version(fixture, 3, /*with_second_key=*/false));
-  fixture.store.SetTrouble(StoreTrouble::kNone);
+  fixture.store.SetFault(StoreFault::kNone);
   BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.gateway->IsReady(); }));
   BOOST_TEST(IsServed(&fixture, RequestFor(fixture, 3)));
   BOOST_TEST(fixture.Call(fixture.OnceRequest("taken-away")).head.status == 401);
@@ -186,7 +186,7 @@
   fixture.Publish(Version(fixture, 2, /*with_second_key=*/false));
   fixture.StartGateway();
   BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2)); }));
-  fixture.store.ReturnFromCopy("2");
+  fixture.store.RestoreCopy("2");
   Time deadline = Now() + seconds(3);
   while (Now() < deadline) {
     Reply removed_key = fixture.Call(fixture.OnceRequest("taken-away"));
@@ -215,7 +215,7 @@
     fixture.StartGateway();
     BOOST_TEST_REQUIRE(
         fixture.RunUntil([&] { return IsServed(&fixture, RequestFor(fixture, 2)); }));
-    fixture.store.ReturnFromCopy("2");
+    fixture.store.RestoreCopy("2");
     fixture.AddGatewayUnready();
     Time deadline = Now() + seconds(3);
     while (Now() < deadline) {
@@ -231,7 +231,7 @@
   }
 }
 
-size_t RunCount(const EngineStandin& engine) { return engine.seen().size(); }
+size_t RunCount(const EngineStandin& engine) { return engine.received().size(); }
 
 // A gateway has read that an engine is leaving.  An older copy in which the engine is ready or
 // listed again does not undo this.
@@ -252,7 +252,7 @@
     }
     BOOST_TEST_REQUIRE(fixture.RunUntil([&] { return fixture.gateway->UsableEngines() == 2; }));
     fixture.store.DropConnections();
-    fixture.store.ReturnFromCopy("2");
+    fixture.store.RestoreCopy("2");
     size_t before = RunCount(leaving);
     Time deadline = Now() + seconds(2);
     for (int i = 0; Now() < deadline; ++i)
@@ -276,7 +276,7 @@
   BOOST_TEST_REQUIRE(
       fixture.RunUntil([&] { return IsServed(&fixture, fixture.StreamRequest("s")); }));
   fixture.store.DropConnections();
-  fixture.store.ReturnFromCopy("2");
+  fixture.store.RestoreCopy("2");
   Time written_again = Now() + milliseconds(1800);
   while (Now() < written_again) {
     BOOST_TEST_REQUIRE(IsServed(&fixture, fixture.StreamRequest("s")));
@@ -303,7 +303,7 @@
   BOOST_TEST_REQUIRE(fixture.RunUntil(both_are_there));
   BOOST_TEST_REQUIRE(
       fixture.RunUntil([&] { return !fixture.store.Newest(kListCopy, "part-0").empty(); }));
-  fixture.store.ReturnFromCopy("2");
+  fixture.store.RestoreCopy("2");
   BOOST_TEST(fixture.RunUntil(both_are_there));
   BOOST_TEST(fixture.RunUntil([&] { return !fixture.store.Newest(kListCopy, "part-0").empty(); }));
   // The entries of both gateways, and the entries that name the settled epoch.
