--- a/src/transport/frame_connection.cc
+++ b/src/transport/frame_connection.cc
@@ -37,7 +37,8 @@
   sockaddr_storage storage;
   socklen_t length = address.Fill(&storage);
   int fd = socket(storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  // An immediate failure closes the connection from a posted task, below.
+  // An immediate failure is reported by the posted task below, unless the loop calls
+  // FinishConnecting first, which reads the error from the socket.
   int result = connect(fd, reinterpret_cast<sockaddr*>(&storage), length);
   bool failed = result != 0 && errno != EINPROGRESS;
   std::shared_ptr<FrameConnection> connection(
