--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/load_exchange.cc
@@ -225,8 +225,10 @@
     this->SendOffers(now);
     this->UpdateSilentPeers(now);
   }
-  this->SendNotices(refresh && this->rounds % kRoundsPerNoticeRefresh == 0, now);
-  this->SendToCells(this->TakeUnsent(refresh, now), now);
+  // Changed notices, and in some rounds all notices that still hold.
+  bool all_notices = refresh && this->rounds % kRoundsPerNoticeRefresh == 0;
+  this->SendToCells(this->fleet->NoticesToSend(all_notices, now), &LoadDigest::notices, now);
+  this->SendToCells(this->TakeUnsent(refresh, now), &LoadDigest::loads, now);
 }
 
 // Returns the loads to send: the changed ones, or all of them.  Marks them as sent.
@@ -270,26 +272,33 @@
                                          plan.revision());
 }
 
-// Sends each load to the members of the engine's cell.  Engines with the same members share
-// datagrams.
-void LoadExchange::SendToCells(const std::map<std::string, EngineLoad>& loads, Time now) {
-  std::map<std::vector<const Peer*>, std::map<std::string, EngineLoad>> by_members;
-  for (const auto& [engine, load] : loads) {
-    by_members[this->GatewaysOfEngine(engine, now)][engine] = load;
+// Sends each entry, in this field of the datagrams, to the members of the engine's cell.  Engines
+// with the same members share datagrams.
+template <typename Entry>
+void LoadExchange::SendToCells(const std::map<std::string, Entry>& entries,
+                               std::map<std::string, Entry> LoadDigest::*field, Time now) {
+  std::map<std::vector<const Peer*>, std::map<std::string, Entry>> by_members;
+  for (const auto& [engine, entry] : entries) {
+    by_members[this->GatewaysOfEngine(engine, now)][engine] = entry;
+  }
+  for (auto& [members, part] : by_members) {
+    this->SendInParts(std::move(part), field, members, now);
   }
-  for (auto& [members, part] : by_members) this->SendInParts(std::move(part), members, now);
 }
 
-// Sends a long list in several datagrams, since each holds at most kEntriesPerDatagram loads.
-void LoadExchange::SendInParts(std::map<std::string, EngineLoad> loads,
+// Sends a long list in several datagrams, since each holds at most kEntriesPerDatagram entries.
+template <typename Entry>
+void LoadExchange::SendInParts(std::map<std::string, Entry> entries,
+                               std::map<std::string, Entry> LoadDigest::*field,
                                const std::vector<const Peer*>& to, Time now) {
-  if (loads.empty() || to.empty()) return;
+  if (entries.empty() || to.empty()) return;
   LoadDigest digest = this->NewDigest(now);
-  while (!loads.empty()) {
+  while (!entries.empty()) {
     digest.sequence = ++this->sequence;
-    digest.loads.clear();
-    while (!loads.empty() && digest.loads.size() < kEntriesPerDatagram) {
-      digest.loads.insert(loads.extract(loads.begin()));
+    auto& part = digest.*field;
+    part.clear();
+    while (!entries.empty() && part.size() < kEntriesPerDatagram) {
+      part.insert(entries.extract(entries.begin()));
     }
     std::string datagram = EncodeDigest(digest);
     for (const Peer* peer : to) this->Send(*peer, datagram);
@@ -311,26 +320,6 @@
   for (const Peer* peer : receivers) this->Send(*peer, datagram);
 }
 
-// Sends changed notices, or in a refresh round all notices that still hold.
-void LoadExchange::SendNotices(bool all, Time now) {
-  std::map<std::vector<const Peer*>, std::map<std::string, NoticeReport>> by_members;
-  for (const auto& [engine, report] : this->fleet->NoticesToSend(all, now)) {
-    by_members[this->GatewaysOfEngine(engine, now)][engine] = report;
-  }
-  for (auto& [members, reports] : by_members) {
-    LoadDigest digest = this->NewDigest(now);
-    while (!reports.empty()) {
-      digest.sequence = ++this->sequence;
-      digest.notices.clear();
-      while (!reports.empty() && digest.notices.size() < kEntriesPerDatagram) {
-        digest.notices.insert(reports.extract(reports.begin()));
-      }
-      std::string datagram = EncodeDigest(digest);
-      for (const Peer* peer : members) this->Send(*peer, datagram);
-    }
-  }
-}
-
 void LoadExchange::OnNotices(const LoadDigest& digest, Time now) {
   for (const auto& [engine, report] : digest.notices) {
     EngineNotices::Change change = this->fleet->notices().ReceiveReport(engine, report, now);
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -145,11 +145,14 @@
   std::map<std::string, EngineLoad> TakeUnsent(bool all, Time now);
   std::vector<const Peer*> Neighbours(Time now);
   std::vector<const Peer*> GatewaysOfEngine(const std::string& engine, Time now);
-  void SendToCells(const std::map<std::string, EngineLoad>& loads, Time now);
-  void SendInParts(std::map<std::string, EngineLoad> loads, const std::vector<const Peer*>& to,
-                   Time now);
+  template <typename Entry>
+  void SendToCells(const std::map<std::string, Entry>& entries,
+                   std::map<std::string, Entry> LoadDigest::*field, Time now);
+  template <typename Entry>
+  void SendInParts(std::map<std::string, Entry> entries,
+                   std::map<std::string, Entry> LoadDigest::*field,
+                   const std::vector<const Peer*>& to, Time now);
   void SendOffers(Time now);
-  void SendNotices(bool all, Time now);
   void OnNotices(const LoadDigest& digest, Time now);
   void UpdateSilentPeers(Time now);
   void Send(const Peer& peer, const std::string& datagram);
